--- a/src/main/java/org/wigeongrade/decisions/control/ChangeAnswers.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ChangeAnswers.java
@@ -9,17 +9,20 @@
 import org.wigeongrade.ids.Revision;
 
 /**
- * The first answers to the last {@link #MAX_ANSWERS} changes, so that a change that is sent again after a lost answer
- * gets the same answer and takes effect once.
+ * The results with which the last {@link #MAX_ANSWERS} changes were first answered. A change that is sent again after
+ * its answer was lost gets the same result and takes effect only once.
  *
- * <p>Not thread safe; {@link ControlState} guards it.
+ * <p>Not thread safe; guarded by {@link ControlState}.
  */
 final class ChangeAnswers {
     static final int MAX_ANSWERS = 4_096;
 
     private final LinkedHashMap<ChangeId, ChangeAnswer> answers = new LinkedHashMap<>();
 
-    /** Returns the answer to a resend, or empty if the change is new. Another change under the same id is refused. */
+    /**
+     * Returns the first result of a resent change, a refusal if the id was used for a different change, or empty if the
+     * id is new.
+     */
     Optional<CommandResult> find(ChangeId changeId, String contentDigest, Revision revision) {
         final ChangeAnswer answer = answers.get(changeId);
         if (answer == null) {
@@ -41,7 +44,7 @@
         }
     }
 
-    /** Returns the kept answers, oldest first. */
+    /** Returns the stored answers, oldest first. */
     List<ChangeAnswer> all() {
         return ImmutableList.copyOf(answers.values());
     }
--- a/src/main/java/org/wigeongrade/decisions/control/ChangeDigest.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ChangeDigest.java
@@ -1,8 +1,8 @@
 package org.wigeongrade.decisions.control;
 
 /**
- * Digests of what a change asks for, without the time of its proposal, which differs in a resend. Stateless; safe for
- * use from any thread.
+ * Computes the digest of a change's content. It leaves out the proposal time, which differs when a change is sent
+ * again. Stateless; safe for use from any thread.
  */
 final class ChangeDigest {
     private ChangeDigest() {}
--- a/src/main/java/org/wigeongrade/decisions/control/CommandResult.java
+++ b/src/main/java/org/wigeongrade/decisions/control/CommandResult.java
@@ -5,7 +5,7 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.ids.Revision;
 
-/** What applying a {@link Command} gave. Immutable; safe for use from any thread. */
+/** Result of applying a {@link Command}. Immutable; safe for use from any thread. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = CommandResult.Accepted.class, name = "accepted"),
@@ -16,9 +16,9 @@
     /** The command took effect; {@code revision} is the configuration revision after it. */
     record Accepted(Revision revision) implements CommandResult {}
 
-    /** The command changed nothing; {@code message} tells why and what to do. */
+    /** The command was refused and had no effect; {@code message} says why and what to do about it. */
     record Refused(ErrorKind kind, String message, Revision revision) implements CommandResult {}
 
-    /** The claimed request had completed before; {@code answer} is what it got. */
+    /** The claimed request has already completed with {@code answer}. */
     record AlreadyAnswered(StoredAnswer answer) implements CommandResult {}
 }
--- a/src/main/java/org/wigeongrade/decisions/control/ConfigurationChange.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ConfigurationChange.java
@@ -4,7 +4,7 @@
 import org.wigeongrade.decisions.config.ObjectId;
 import org.wigeongrade.ids.Revision;
 
-/** An accepted change of configuration and the objects it changed. Immutable; safe for use from any thread. */
+/** Accepted configuration change, with the objects that it changed. Immutable; safe for use from any thread. */
 public record ConfigurationChange(Revision revision, String operator, List<ObjectId> changed, long atEpochMs) {
     public ConfigurationChange {
         changed = List.copyOf(changed);
--- a/src/main/java/org/wigeongrade/decisions/control/ConfigurationChanges.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ConfigurationChanges.java
@@ -12,13 +12,13 @@
 import org.wigeongrade.ids.Revision;
 
 /**
- * The last {@link #MAX_CHANGES} accepted changes, to tell an operator what others changed.
+ * The last {@link #MAX_CHANGES} accepted changes, used to tell an operator in a revision conflict what others changed.
  *
- * <p>Not thread safe; {@link ControlState} guards it.
+ * <p>Not thread safe; guarded by {@link ControlState}.
  */
 final class ConfigurationChanges {
     static final int MAX_CHANGES = 256;
-    private static final int MAX_LISTED = 50;
+    private static final int MAX_LISTED_OBJECTS = 50;
 
     private final Deque<ConfigurationChange> changes = new ArrayDeque<>();
 
@@ -29,16 +29,19 @@
         }
     }
 
-    /** Returns a message that tells who changed the configuration after {@code base} and which objects differ. */
-    String conflict(Revision base, Revision current) {
-        final String numbers = "the change was made to revision " + base + " and the current revision is " + current;
+    /**
+     * Returns an error message that names the operator of the last change and the objects that changed after {@code
+     * base}.
+     */
+    String conflictMessage(Revision base, Revision current) {
+        final String revisions = "the change was made to revision " + base + " and the current revision is " + current;
         final List<ConfigurationChange> since = since(base);
         if (since.isEmpty()) {
-            return numbers + "; read the current revision and apply the change to it";
+            return revisions + "; read the current revision and apply the change to it";
         }
         final ConfigurationChange last = changes.getLast();
-        return numbers + ", made by " + last.operator() + " at " + Instant.ofEpochMilli(last.atEpochMs())
-                + "; objects that differ: " + objects(since) + (reachesBackTo(base) ? "" : " and earlier ones")
+        return revisions + ", made by " + last.operator() + " at " + Instant.ofEpochMilli(last.atEpochMs())
+                + "; objects that differ: " + describeObjects(since) + (coversAllSince(base) ? "" : " and earlier ones")
                 + "; read the current revision and apply the change to it";
     }
 
@@ -48,20 +51,23 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private boolean reachesBackTo(Revision base) {
+    private boolean coversAllSince(Revision base) {
         return changes.getFirst().revision().compareTo(base.next()) <= 0;
     }
 
-    private static String objects(List<ConfigurationChange> since) {
+    private static String describeObjects(List<ConfigurationChange> since) {
         final Set<ObjectId> changed = since.stream()
                 .flatMap(change -> change.changed().stream())
                 .collect(Collectors.toCollection(TreeSet::new));
-        final int hidden = changed.size() - MAX_LISTED;
-        return changed.stream().limit(MAX_LISTED).map(ObjectId::toString).collect(Collectors.joining(", "))
+        final int hidden = changed.size() - MAX_LISTED_OBJECTS;
+        return changed.stream()
+                        .limit(MAX_LISTED_OBJECTS)
+                        .map(ObjectId::toString)
+                        .collect(Collectors.joining(", "))
                 + (hidden > 0 ? " and " + hidden + " more" : "");
     }
 
-    /** Returns the kept changes, oldest first. */
+    /** Returns the stored changes, oldest first. */
     List<ConfigurationChange> all() {
         return ImmutableList.copyOf(changes);
     }
--- a/src/main/java/org/wigeongrade/decisions/control/ControlCodec.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ControlCodec.java
@@ -13,8 +13,8 @@
 /**
  * Encodes commands, results and snapshots as JSON in UTF-8.
  *
- * <p>Invariant: equal values give equal bytes, since properties are sorted and maps are not used. Stateless; safe for
- * use from any thread.
+ * <p>Invariant: equal values have equal encodings, because properties are sorted and maps are not used. Stateless; safe
+ * for use from any thread.
  */
 public final class ControlCodec {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
@@ -38,17 +38,17 @@
         return encode(ControlSnapshot.class, snapshot);
     }
 
-    /** Reads a command; throws {@link UncheckedIOException} if the bytes are not one. */
+    /** Decodes a command; throws {@link UncheckedIOException} if the bytes are not one. */
     public static Command decodeCommand(byte[] bytes) {
         return decode(Command.class, bytes);
     }
 
-    /** Reads a result; throws {@link UncheckedIOException} if the bytes are not one. */
+    /** Decodes a result; throws {@link UncheckedIOException} if the bytes are not one. */
     public static CommandResult decodeResult(byte[] bytes) {
         return decode(CommandResult.class, bytes);
     }
 
-    /** Reads a snapshot; throws {@link UncheckedIOException} if the bytes are not one. */
+    /** Decodes a snapshot; throws {@link UncheckedIOException} if the bytes are not one. */
     public static ControlSnapshot decodeSnapshot(byte[] bytes) {
         return decode(ControlSnapshot.class, bytes);
     }
--- a/src/main/java/org/wigeongrade/decisions/control/ControlSnapshot.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ControlSnapshot.java
@@ -11,8 +11,8 @@
 /**
  * The whole state of {@link ControlState} at one log position.
  *
- * <p>Invariant: two states that applied the same commands give equal snapshots and equal bytes under {@link
- * ControlCodec}. Immutable; safe for use from any thread.
+ * <p>Invariant: two states that applied the same commands have equal snapshots, and {@link ControlCodec} encodes them
+ * to equal bytes. Immutable; safe for use from any thread.
  */
 public record ControlSnapshot(
         long appliedIndex,
--- a/src/main/java/org/wigeongrade/decisions/control/ControlState.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ControlState.java
@@ -25,8 +25,8 @@
 /**
  * The deterministic state machine of the control VMs.
  *
- * <p>Invariants: the state and every result depend on nothing but the commands so far; the revision and the time of the
- * state never decrease; a VM belongs to at most one group; a change id takes effect at most once. Thread safe: each
+ * <p>Invariants: the state and every result depend only on the commands applied so far; the revision and the state's
+ * time never decrease; a VM belongs to at most one group; a change id takes effect at most once. Thread safe: each
  * method holds this object's monitor and calls nothing that takes another lock. Returned values are immutable.
  */
 public final class ControlState {
@@ -46,14 +46,14 @@
     private long appliedIndex;
     private long nowEpochMs;
 
-    /** Returns a state that goes on where the snapshot was taken. */
+    /** Returns a new state with the contents of the snapshot. */
     public static ControlState restore(ControlSnapshot snapshot) {
         final ControlState state = new ControlState();
         state.load(snapshot);
         return state;
     }
 
-    /** Replaces the whole state by that of the snapshot. */
+    /** Replaces the whole state by the contents of the snapshot. */
     public synchronized void load(ControlSnapshot snapshot) {
         appliedIndex = snapshot.appliedIndex();
         nowEpochMs = snapshot.nowEpochMs();
@@ -68,7 +68,7 @@
         quarantines.restore(snapshot.quarantines());
     }
 
-    /** Returns the whole state. */
+    /** Returns a snapshot of the whole state. */
     public synchronized ControlSnapshot snapshot() {
         return new ControlSnapshot(
                 appliedIndex,
@@ -102,11 +102,11 @@
             return dissolveGroup(dissolve);
         }
         if (command instanceof Command.ClaimRequest claim) {
-            advanceTo(claim.proposedAtEpochMs());
+            advanceTime(claim.proposedAtEpochMs());
             return claims.claim(claim, nowEpochMs, declaredSet.longestServiceRunMs(), revision);
         }
         if (command instanceof Command.FinishClaim finish) {
-            advanceTo(finish.proposedAtEpochMs());
+            advanceTime(finish.proposedAtEpochMs());
             return claims.finish(finish, nowEpochMs, revision);
         }
         if (command instanceof Command.QuarantineRequest quarantine) {
@@ -116,7 +116,7 @@
     }
 
     private CommandResult applyConfiguration(Command.ApplyConfiguration command) {
-        advanceTo(command.proposedAtEpochMs());
+        advanceTime(command.proposedAtEpochMs());
         final String digest = ChangeDigest.of(command);
         return changeAnswers.find(command.changeId(), digest, revision).orElseGet(() -> {
             final CommandResult result = replaceDeclaredSet(command);
@@ -131,7 +131,7 @@
                     ObjectId.DECLARED_SET,
                     command.operator(),
                     ErrorKind.REVISION_CONFLICT,
-                    changes.conflict(command.baseRevision(), revision));
+                    changes.conflictMessage(command.baseRevision(), revision));
         }
         final List<ConfigurationFault> faults = ConfigurationChecker.check(command.declaredSet(), declaredSet);
         if (ConfigurationChecker.refusesSet(faults)) {
@@ -143,12 +143,12 @@
         }
         final List<ObjectId> changed = DeclaredObjects.changed(declaredSet, command.declaredSet());
         declaredSet = command.declaredSet();
-        groups.forgetUndeclared(declaredSet);
+        groups.removeUndeclared(declaredSet);
         return acceptChange(command.operator(), changed, "declared", "change " + command.changeId());
     }
 
     private CommandResult setZoneState(Command.SetZoneState command) {
-        advanceTo(command.proposedAtEpochMs());
+        advanceTime(command.proposedAtEpochMs());
         final String digest = ChangeDigest.of(command);
         return changeAnswers.find(command.changeId(), digest, revision).orElseGet(() -> {
             final CommandResult result = changeZone(command);
@@ -178,26 +178,27 @@
     private CommandResult acceptChange(String operator, List<ObjectId> changed, String what, String why) {
         revision = revision.next();
         changes.add(new ConfigurationChange(revision, operator, changed, nowEpochMs));
-        changed.forEach(object -> decide(object, what, why, operator));
-        decide(ObjectId.DECLARED_SET, "revision " + revision + " accepted", why, operator);
+        changed.forEach(object -> recordDecision(object, what, why, operator));
+        recordDecision(ObjectId.DECLARED_SET, "revision " + revision + " accepted", why, operator);
         return new CommandResult.Accepted(revision);
     }
 
     private CommandResult formGroup(Command.FormGroup command) {
-        advanceTo(command.proposedAtEpochMs());
+        advanceTime(command.proposedAtEpochMs());
         final ObjectId group = ObjectId.of(ObjectKind.GROUP, command.group());
         final Optional<GroupRefusal> refusal = groups.form(command, new GroupRules(declaredSet, zones));
         if (refusal.isPresent()) {
             return refuse(
                     group, LEADER, ErrorKind.REVISION_CONFLICT, refusal.get().message(group, "formed"));
         }
-        decide(group, "formed of " + command.members(), command.reason(), LEADER);
-        command.members().forEach(member -> decide(vm(member), "joined " + group, command.reason(), LEADER));
+        recordDecision(group, "formed of " + command.members(), command.reason(), LEADER);
+        command.members()
+                .forEach(member -> recordDecision(vmObject(member), "joined " + group, command.reason(), LEADER));
         return new CommandResult.Accepted(revision);
     }
 
     private CommandResult dissolveGroup(Command.DissolveGroup command) {
-        advanceTo(command.proposedAtEpochMs());
+        advanceTime(command.proposedAtEpochMs());
         final ObjectId group = ObjectId.of(ObjectKind.GROUP, command.group());
         final List<VmIncarnation> members =
                 groups.find(command.group()).map(FormedGroup::members).orElse(List.of());
@@ -206,15 +207,15 @@
             return refuse(
                     group, LEADER, ErrorKind.REVISION_CONFLICT, refusal.get().message(group, "dissolved"));
         }
-        decide(group, "dissolved", command.reason(), LEADER);
-        members.forEach(member -> decide(vm(member), "freed from " + group, command.reason(), LEADER));
+        recordDecision(group, "dissolved", command.reason(), LEADER);
+        members.forEach(member -> recordDecision(vmObject(member), "freed from " + group, command.reason(), LEADER));
         return new CommandResult.Accepted(revision);
     }
 
     private CommandResult quarantineRequest(Command.QuarantineRequest command) {
-        advanceTo(command.proposedAtEpochMs());
+        advanceTime(command.proposedAtEpochMs());
         quarantines.add(command.requestDigest(), command.reason(), nowEpochMs, command.untilEpochMs());
-        decide(
+        recordDecision(
                 ObjectId.of(ObjectKind.REQUEST, command.requestDigest()),
                 "quarantined until epoch ms " + command.untilEpochMs(),
                 command.reason(),
@@ -223,16 +224,16 @@
     }
 
     private CommandResult expire(Command.ExpireRecords command) {
-        advanceTo(command.proposedAtEpochMs());
+        advanceTime(command.proposedAtEpochMs());
         expireRecords();
         return new CommandResult.Accepted(revision);
     }
 
-    /** Moves the time of the state on; records expire whenever it enters another minute. */
-    private void advanceTo(long proposedAtEpochMs) {
-        final long earlierEpochMs = nowEpochMs;
+    /** Advances the state's time and, whenever a new minute begins, expires records. */
+    private void advanceTime(long proposedAtEpochMs) {
+        final long previousEpochMs = nowEpochMs;
         nowEpochMs = Math.max(nowEpochMs, proposedAtEpochMs);
-        if (nowEpochMs / MS_PER_MINUTE != earlierEpochMs / MS_PER_MINUTE) {
+        if (nowEpochMs / MS_PER_MINUTE != previousEpochMs / MS_PER_MINUTE) {
             expireRecords();
         }
     }
@@ -243,15 +244,15 @@
     }
 
     private CommandResult refuse(ObjectId object, String by, ErrorKind kind, String message) {
-        decide(object, "refused: " + kind.code(), message, by);
+        recordDecision(object, "refused: " + kind.code(), message, by);
         return new CommandResult.Refused(kind, message, revision);
     }
 
-    private void decide(ObjectId object, String what, String why, String by) {
+    private void recordDecision(ObjectId object, String what, String why, String by) {
         history.add(new Decision(object, what, why, by, nowEpochMs, revision, appliedIndex));
     }
 
-    private static ObjectId vm(VmIncarnation member) {
+    private static ObjectId vmObject(VmIncarnation member) {
         return ObjectId.of(ObjectKind.VM, member.vm());
     }
 
@@ -265,17 +266,17 @@
         return declaredSet;
     }
 
-    /** Returns the state of each availability zone, in the order of names. */
+    /** Returns the state of each availability zone, ordered by name. */
     public synchronized ImmutableMap<AvailabilityZone, ZoneState> zoneStates() {
         return zones.all(declaredSet);
     }
 
-    /** Returns the formed groups in the order of their names. */
+    /** Returns the formed groups, ordered by name. */
     public synchronized List<FormedGroup> groups() {
         return groups.all();
     }
 
-    /** Returns the group that the VM belongs to in any incarnation, if there is one. */
+    /** Returns the group that the VM belongs to, in any incarnation, if there is one. */
     public synchronized Optional<GroupName> groupOf(VmName vm) {
         return groups.groupOf(vm);
     }
@@ -285,13 +286,13 @@
         return groups.lastToken();
     }
 
-    /** Returns what placement decides from, all of it at one log position. */
+    /** Returns the state that placement decisions are based on, all of it at one log position. */
     public synchronized PlacementFacts placementFacts() {
         return new PlacementFacts(
                 revision, declaredSet, zones.all(declaredSet), groups.all(), groups.dissolved(), groups.lastToken());
     }
 
-    /** Returns the kept decisions about an object, oldest first. */
+    /** Returns the stored decisions about an object, oldest first. */
     public synchronized List<Decision> decisions(ObjectId object) {
         return history.about(object);
     }
@@ -301,7 +302,7 @@
         return claims.find(organisation, idempotencyKey);
     }
 
-    /** Returns the quarantined requests, in the order of their digests; some may be past their deadline. */
+    /** Returns the quarantined requests, ordered by digest; some may be past their deadline. */
     public synchronized List<Quarantine> quarantines() {
         return quarantines.entries();
     }
@@ -311,7 +312,7 @@
         return appliedIndex;
     }
 
-    /** Returns the time of the state: the latest wall clock in any command, in milliseconds since the epoch. */
+    /** Returns the state's time: the latest proposal time of any applied command, in milliseconds since the epoch. */
     public synchronized long nowEpochMs() {
         return nowEpochMs;
     }
--- a/src/main/java/org/wigeongrade/decisions/control/Decision.java
+++ b/src/main/java/org/wigeongrade/decisions/control/Decision.java
@@ -4,12 +4,12 @@
 import org.wigeongrade.ids.Revision;
 
 /**
- * What was decided about an object: {@code what} happened, {@code why}, by whom and when. {@code index} is the log
- * position of the command. Immutable; safe for use from any thread.
+ * Decision about an object, kept to explain its state: {@code what} happened, {@code why}, {@code by} whom and when.
+ * {@code index} is the log index of the command. Immutable; safe for use from any thread.
  */
 public record Decision(
         ObjectId object, String what, String why, String by, long atEpochMs, Revision revision, long index) {
-    /** Returns whether the other decision said the same, at another time. */
+    /** Returns whether this decision equals the other one in all but object, time, revision and index. */
     boolean repeats(Decision other) {
         return what.equals(other.what) && why.equals(other.why) && by.equals(other.by);
     }
--- a/src/main/java/org/wigeongrade/decisions/control/DecisionHistory.java
+++ b/src/main/java/org/wigeongrade/decisions/control/DecisionHistory.java
@@ -9,10 +9,11 @@
 import org.wigeongrade.decisions.config.ObjectId;
 
 /**
- * The last decisions about each object.
+ * The latest decisions about each object.
  *
- * <p>Invariant: keeps {@link #MAX_PER_OBJECT} decisions for each of the {@link #MAX_OBJECTS} objects decided about
- * last; a decision that repeats the one before it is not added. Not thread safe; {@link ControlState} guards it.
+ * <p>Invariant: keeps at most {@link #MAX_PER_OBJECT} decisions for each of the {@link #MAX_OBJECTS} objects with the
+ * most recent decisions; a decision that repeats the previous one is not added. Not thread safe; guarded by {@link
+ * ControlState}.
  */
 final class DecisionHistory {
     static final int MAX_PER_OBJECT = 8;
@@ -35,13 +36,13 @@
         }
     }
 
-    /** Returns the kept decisions about an object, oldest first. */
+    /** Returns the stored decisions about an object, oldest first. */
     List<Decision> about(ObjectId object) {
         final Deque<Decision> decisions = byObject.get(object);
         return decisions == null ? ImmutableList.of() : ImmutableList.copyOf(decisions);
     }
 
-    /** Returns all kept decisions; the objects decided about last come last. */
+    /** Returns all stored decisions; objects with more recent decisions come later. */
     List<Decision> all() {
         return byObject.values().stream().flatMap(Collection::stream).collect(ImmutableList.toImmutableList());
     }
--- a/src/main/java/org/wigeongrade/decisions/control/FormedGroup.java
+++ b/src/main/java/org/wigeongrade/decisions/control/FormedGroup.java
@@ -11,9 +11,10 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * A group that was formed and not dissolved since. The first member takes the requests.
+ * Group that was formed and has not been dissolved since. The first member receives the group's requests.
  *
- * <p>Invariant: members are of one fabric domain and belong to no other group. Immutable; safe for use from any thread.
+ * <p>Invariant: the members are in one fabric domain and belong to no other group. Immutable; safe for use from any
+ * thread.
  */
 public record FormedGroup(
         GroupName group,
@@ -34,7 +35,7 @@
         return members.stream().anyMatch(member -> member.vm().equals(vm));
     }
 
-    /** Returns the member that takes the requests. */
+    /** Returns the first member, which receives the group's requests. */
     public VmIncarnation first() {
         return members.get(0);
     }
--- a/src/main/java/org/wigeongrade/decisions/control/GroupRefusal.java
+++ b/src/main/java/org/wigeongrade/decisions/control/GroupRefusal.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import org.wigeongrade.decisions.config.ObjectId;
 
-/** Why a command about a group was refused. Immutable; safe for use from any thread. */
+/** Reason why a command to form or dissolve a group was refused. Immutable; safe for use from any thread. */
 public enum GroupRefusal {
     POOL_NOT_DECLARED("its pool is not declared"),
     GROUP_NOT_DECLARED("the declared set has no such group"),
@@ -28,12 +28,15 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the reason as the end of a sentence that begins with the group. */
+    /** Returns the reason as a clause that follows the refusal of the group, for example {@code it is not formed}. */
     public String text() {
         return text;
     }
 
-    /** Returns the refusal as a sentence; {@code verb} is what was to be done, for example {@code formed}. */
+    /**
+     * Returns the refusal as a sentence; {@code verb} is the participle of the refused action, for example {@code
+     * formed}.
+     */
     public String message(ObjectId group, String verb) {
         return group + " was not " + verb + ": " + text + " (" + code() + ")";
     }
--- a/src/main/java/org/wigeongrade/decisions/control/GroupRules.java
+++ b/src/main/java/org/wigeongrade/decisions/control/GroupRules.java
@@ -6,7 +6,8 @@
 import org.wigeongrade.decisions.config.DeclaredSet;
 
 /**
- * Compares the forming of a group with the declared set and the zone states. Immutable; safe for use from any thread.
+ * Checks a command to form a group against the declared set and the zone states. Immutable; safe for use from any
+ * thread.
  */
 record GroupRules(DeclaredSet declaredSet, ZoneTable zones) {
     Optional<GroupRefusal> check(Command.FormGroup command) {
--- a/src/main/java/org/wigeongrade/decisions/control/GroupTable.java
+++ b/src/main/java/org/wigeongrade/decisions/control/GroupTable.java
@@ -19,8 +19,8 @@
 /**
  * The formed groups.
  *
- * <p>Invariant: each VM, in any incarnation, is a member of at most one group; fencing tokens increase with each
- * command that is accepted. Not thread safe; {@link ControlState} guards it.
+ * <p>Invariant: each VM, in any incarnation, is a member of at most one group; the last fencing token never decreases,
+ * and a group is formed only with a larger one. Not thread safe; guarded by {@link ControlState}.
  */
 final class GroupTable {
     private final TreeMap<GroupName, FormedGroup> groups = new TreeMap<>();
@@ -28,7 +28,10 @@
     private final TreeSet<GroupName> dissolved = new TreeSet<>();
     private FencingToken lastToken = FencingToken.NONE;
 
-    /** Forms a group unless the table's invariants or the declared set speak against it. */
+    /**
+     * Forms a group, unless this violates the table's invariants, the declared set or a zone state; returns the reason
+     * then.
+     */
     Optional<GroupRefusal> form(Command.FormGroup command, GroupRules rules) {
         final Optional<GroupRefusal> refusal = rules.check(command).or(() -> checkMembers(command));
         if (refusal.isPresent()) {
@@ -36,7 +39,7 @@
         }
         lastToken = command.fencingToken();
         dissolved.remove(command.group());
-        groups.put(command.group(), formed(command));
+        groups.put(command.group(), toFormedGroup(command));
         command.members().forEach(member -> groupOfVm.put(member.vm(), command.group()));
         return Optional.empty();
     }
@@ -58,7 +61,10 @@
         return Optional.empty();
     }
 
-    /** Frees a group's members. The token is newly issued or the group's own; an older one is refused. */
+    /**
+     * Dissolves a group and frees its members, unless the group is not formed or the command's fencing token is older
+     * than the group's; returns the reason then. The token is either newly issued or the group's own.
+     */
     Optional<GroupRefusal> dissolve(Command.DissolveGroup command) {
         final FormedGroup group = groups.get(command.group());
         if (group == null) {
@@ -88,18 +94,18 @@
         return lastToken;
     }
 
-    /** Returns the groups that were dissolved, are still declared and were not formed again, in the order of names. */
+    /** Returns the groups that were dissolved, are still declared and have not been formed again, ordered by name. */
     Set<GroupName> dissolved() {
         return ImmutableSet.copyOf(dissolved);
     }
 
-    /** Drops the dissolved groups that the set no longer asks for. */
-    void forgetUndeclared(DeclaredSet set) {
+    /** Removes the dissolved groups that the set no longer declares. */
+    void removeUndeclared(DeclaredSet set) {
         final Set<GroupName> declared = DeclaredGroups.names(set);
         dissolved.removeIf(group -> !declared.contains(group));
     }
 
-    /** Returns the formed groups in the order of their names. */
+    /** Returns the formed groups, ordered by name. */
     List<FormedGroup> all() {
         return ImmutableList.copyOf(groups.values());
     }
@@ -116,7 +122,7 @@
         }
     }
 
-    private static FormedGroup formed(Command.FormGroup command) {
+    private static FormedGroup toFormedGroup(Command.FormGroup command) {
         return new FormedGroup(
                 command.group(),
                 command.pool(),
--- a/src/main/java/org/wigeongrade/decisions/control/PlacementFacts.java
+++ b/src/main/java/org/wigeongrade/decisions/control/PlacementFacts.java
@@ -9,7 +9,7 @@
 import org.wigeongrade.ids.GroupName;
 import org.wigeongrade.ids.Revision;
 
-/** What placement decides from, at one log position. Immutable; safe for use from any thread. */
+/** State that placement decisions are based on, at one log position. Immutable; safe for use from any thread. */
 public record PlacementFacts(
         Revision revision,
         DeclaredSet declaredSet,
--- a/src/main/java/org/wigeongrade/decisions/control/StoredAnswer.java
+++ b/src/main/java/org/wigeongrade/decisions/control/StoredAnswer.java
@@ -1,5 +1,8 @@
 package org.wigeongrade.decisions.control;
 
-/** A plain service's whole answer, kept for resends of its idempotency key. Immutable; do not change {@code body}. */
+/**
+ * Complete answer of a plain service, stored for requests that repeat its idempotency key. Immutable: {@code body} must
+ * not be modified.
+ */
 @SuppressWarnings("ArrayRecordComponent")
 public record StoredAnswer(int status, String contentType, byte[] body) {}
--- a/src/main/java/org/wigeongrade/decisions/control/ZoneState.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ZoneState.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Whether operators let an availability zone receive new work. Immutable; safe for use from any thread. */
+/** Whether an availability zone receives new work, as set by operators. Immutable; safe for use from any thread. */
 public enum ZoneState {
     IN,
     OUT;
@@ -12,7 +12,7 @@
         return this == IN;
     }
 
-    /** Returns the state as operators write it. */
+    /** Returns the state as operators spell it. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/wigeongrade/decisions/control/ZoneTable.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ZoneTable.java
@@ -9,10 +9,10 @@
 import org.wigeongrade.ids.AvailabilityZone;
 
 /**
- * The states that operators gave to availability zones.
+ * The states that operators set for availability zones.
  *
- * <p>Invariant: a state stays until an operator changes it, also while the zone is not declared. A zone without one is
- * in. Not thread safe; {@link ControlState} guards it.
+ * <p>Invariant: a state is kept until an operator changes it, even while the zone is not declared. A zone without a
+ * state is {@link ZoneState#IN}. Not thread safe; guarded by {@link ControlState}.
  */
 final class ZoneTable {
     private final TreeMap<AvailabilityZone, ZoneState> states = new TreeMap<>();
@@ -25,7 +25,7 @@
         return states.getOrDefault(zone, ZoneState.IN);
     }
 
-    /** Returns the state of each declared zone and of each zone that was given one, in the order of names. */
+    /** Returns the state of each zone that is declared or has a state, ordered by name. */
     ImmutableMap<AvailabilityZone, ZoneState> all(DeclaredSet set) {
         final Map<AvailabilityZone, ZoneState> all = new TreeMap<>(states);
         set.zones().stream().map(ZoneDeclaration::name).forEach(zone -> all.putIfAbsent(zone, ZoneState.IN));
--- a/src/main/java/org/wigeongrade/decisions/log/Bootstrap.java
+++ b/src/main/java/org/wigeongrade/decisions/log/Bootstrap.java
@@ -6,17 +6,17 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Starts a brand-new cluster: only the first configured voter may, and only after every configured voter answered one
- * round of probes that its folder is brand-new too.
+ * Bootstraps a new cluster. Only the first configured voter does this, and only after all other configured voters have
+ * confirmed in a single round of probes that their data folders are new too.
  *
- * <p>Invariant: a folder that was ever lost, or that holds a term or an entry, never counts as brand-new. Not thread
- * safe.
+ * <p>Invariant: a folder never counts as new if it holds a term or an entry, or if the node lost an earlier folder. Not
+ * thread safe.
  */
 final class Bootstrap {
     private static final long FIRST_TERM = 1;
 
     private final CoreState state;
-    private final Map<NodeName, Long> emptyIncarnations = new TreeMap<>();
+    private final Map<NodeName, Long> emptyVoters = new TreeMap<>();
     private long round;
     private long nextProbeNanos;
 
@@ -26,18 +26,18 @@
     }
 
     void tick(long nowNanos) {
-        if (!mayStart() || nowNanos - nextProbeNanos < 0) {
+        if (!canBootstrap() || nowNanos - nextProbeNanos < 0) {
             return;
         }
         nextProbeNanos = nowNanos + state.settings.timings().electionMinNanos();
         round++;
-        emptyIncarnations.clear();
-        emptyIncarnations.put(state.self.name(), state.self.incarnation());
+        emptyVoters.clear();
+        emptyVoters.put(state.self.name(), state.self.incarnation());
         LogMessage probe = new LogMessage.EmptyProbe(round, state.settings.configuredVoters());
         state.settings.configuredVoters().stream()
                 .filter(peer -> !peer.equals(state.self.name()))
                 .forEach(peer -> state.send(peer, probe));
-        startIfAllEmpty();
+        startClusterIfAllEmpty();
     }
 
     void onProbe(NodeName from, LogMessage.EmptyProbe probe) {
@@ -47,23 +47,23 @@
     }
 
     void onReply(NodeName from, LogMessage.EmptyProbeReply reply) {
-        if (!mayStart() || reply.round() != round || !reply.empty()) {
+        if (!canBootstrap() || reply.round() != round || !reply.empty()) {
             return;
         }
-        emptyIncarnations.put(from, reply.incarnation());
-        startIfAllEmpty();
+        emptyVoters.put(from, reply.incarnation());
+        startClusterIfAllEmpty();
     }
 
-    private boolean mayStart() {
+    private boolean canBootstrap() {
         return state.mayBootstrap && state.isEmpty() && state.settings.isBootstrapper();
     }
 
-    private void startIfAllEmpty() {
-        if (!emptyIncarnations.keySet().equals(state.settings.configuredVoters())) {
+    private void startClusterIfAllEmpty() {
+        if (!emptyVoters.keySet().equals(state.settings.configuredVoters())) {
             return;
         }
         state.adoptTerm(FIRST_TERM, Optional.of(state.self.name()));
-        Membership initial = Membership.of(emptyIncarnations);
+        Membership initial = Membership.of(emptyVoters);
         state.append(LogEntry.after(Position.START, FIRST_TERM, EntryKind.MEMBERSHIP, initial.encode()));
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/log/Bytes.java
+++ b/src/main/java/org/wigeongrade/decisions/log/Bytes.java
@@ -7,10 +7,11 @@
 /**
  * A sequence of bytes with value equality.
  *
- * <p>Invariant: nobody changes the array after it was handed over. Immutable by that rule; safe for use from any thread.
+ * <p>Invariant: the array is never modified after it was wrapped. Immutable by that convention; safe for use from any
+ * thread.
  */
 public final class Bytes {
-    /** No bytes. */
+    /** The empty sequence. */
     public static final Bytes EMPTY = new Bytes(new byte[0]);
 
     private final byte[] array;
@@ -19,13 +20,13 @@
         this.array = array;
     }
 
-    /** Wraps the array without a copy; the caller gives it up. */
+    /** Wraps the array without copying it; the caller must not modify it afterwards. */
     @JsonCreator
     public static Bytes wrap(byte[] array) {
         return new Bytes(array);
     }
 
-    /** Returns the array itself; the caller must not change it. */
+    /** Returns the wrapped array, not a copy; the caller must not modify it. */
     @JsonValue
     public byte[] array() {
         return array;
--- a/src/main/java/org/wigeongrade/decisions/log/CoreSettings.java
+++ b/src/main/java/org/wigeongrade/decisions/log/CoreSettings.java
@@ -6,13 +6,16 @@
 /**
  * Fixed settings of one replica.
  *
- * <p>Invariant: {@code configuredVoters} are the nodes that start a new log together and are the same on all of them; a
- * node that is not among them never starts one. Immutable; safe for use from any thread.
+ * <p>Invariant: {@code configuredVoters} are the nodes that bootstrap a new log together. The set is the same on each
+ * of them, and a node outside the set never bootstraps a log. Immutable; safe for use from any thread.
  */
 public record CoreSettings(
         NodeName self, ImmutableSortedSet<NodeName> configuredVoters, VoterPolicy voterPolicy, LogTimings timings) {
 
-    /** Returns the settings of a node whose peers are all configured. */
+    /**
+     * Returns the settings of a node in a cluster whose voters are exactly the configured nodes; throws {@link
+     * IllegalArgumentException} if the node is not one of them.
+     */
     public static CoreSettings configured(
             NodeName self, ImmutableSortedSet<NodeName> configuredVoters, LogTimings timings) {
         if (!configuredVoters.contains(self)) {
@@ -21,7 +24,10 @@
         return new CoreSettings(self, configuredVoters, VoterPolicy.ALL_CONFIGURED, timings);
     }
 
-    /** Returns whether this is the one node that may bootstrap a brand-new cluster: the first by name. */
+    /**
+     * Returns whether this node, the first of the configured voters by name, is the one that may bootstrap a new
+     * cluster.
+     */
     boolean isBootstrapper() {
         return !configuredVoters.isEmpty() && configuredVoters.first().equals(self);
     }
--- a/src/main/java/org/wigeongrade/decisions/log/CoreState.java
+++ b/src/main/java/org/wigeongrade/decisions/log/CoreState.java
@@ -7,7 +7,7 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * State that the parts of one replica share.
+ * State shared by the components of one replica.
  *
  * <p>Invariant: {@code appliedIndex <= commitIndex <= log.lastIndex()}; the term never decreases. Not thread safe.
  */
@@ -17,8 +17,8 @@
     final boolean mayBootstrap;
     final RandomGenerator random;
     final MemoryLog log;
-    /** Control VMs that were found at run time, beside the configured ones. */
-    final Set<NodeName> discovered = new TreeSet<>();
+    /** Control VMs that were discovered at run time, in addition to the configured ones. */
+    final Set<NodeName> discoveredPeers = new TreeSet<>();
 
     Outputs outputs = new Outputs();
     Role role = Role.FOLLOWER;
@@ -29,7 +29,10 @@
     long appliedIndex;
     long durableIndex;
     long electionDeadlineNanos;
-    /** Until then no vote is given: a leader that was heard from, maybe before a restart, may hold its lease. */
+    /**
+     * No vote is granted before this time, because a leader that was heard from, perhaps before a restart, may still
+     * hold its lease.
+     */
     long refuseVotesUntilNanos;
 
     Optional<HaltReason> halted = Optional.empty();
@@ -47,25 +50,25 @@
         this.commitIndex = snapshotIndex;
         this.appliedIndex = snapshotIndex;
         this.durableIndex = log.lastIndex();
-        heardFromLeader(nowNanos);
+        recordLeaderContact(nowNanos);
     }
 
     boolean isVoter() {
         return log.membership().isVoter(self);
     }
 
-    /** Returns whether nothing was ever stored or promised here. */
+    /** Returns whether this replica has neither stored an entry nor adopted a term yet. */
     boolean isEmpty() {
         return term == 0 && log.lastIndex() == 0;
     }
 
-    void heardFromLeader(long nowNanos) {
+    void recordLeaderContact(long nowNanos) {
         refuseVotesUntilNanos = nowNanos + settings.timings().electionMinNanos();
         resetElectionDeadline(nowNanos);
     }
 
     void resetElectionDeadline(long nowNanos) {
-        electionDeadlineNanos = nowNanos + settings.timings().randomElectionNanos(random);
+        electionDeadlineNanos = nowNanos + settings.timings().randomElectionTimeoutNanos(random);
     }
 
     void adoptTerm(long newTerm, Optional<NodeName> vote) {
@@ -74,7 +77,7 @@
         outputs.setHardState(new HardState(term, votedFor));
     }
 
-    void follow(Optional<NodeName> newLeader) {
+    void becomeFollower(Optional<NodeName> newLeader) {
         role = Role.FOLLOWER;
         leader = newLeader;
     }
--- a/src/main/java/org/wigeongrade/decisions/log/Election.java
+++ b/src/main/java/org/wigeongrade/decisions/log/Election.java
@@ -6,37 +6,40 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Stands for election and gives votes.
+ * Runs for election and answers vote requests.
  *
- * <p>Invariants: one vote for each term and incarnation; no vote while a leader may hold its lease; a pre-vote changes
- * no term; only an incarnation in the membership counts. Not thread safe.
+ * <p>Invariants: each incarnation of a node grants at most one vote in a term, and none while a leader may hold its
+ * lease; a pre-vote changes no term; only votes of incarnations in the membership count. Not thread safe.
  */
 final class Election {
     private final CoreState state;
-    private final Set<NodeName> granted = new HashSet<>();
+    private final Set<NodeName> grantedBy = new HashSet<>();
 
     Election(CoreState state) {
         this.state = state;
     }
 
-    /** Starts a pre-vote if the election timeout passed; returns whether it is won at once. */
+    /** Starts a pre-vote if the election timeout has passed; returns whether this replica is elected at once. */
     boolean tick(long nowNanos) {
         if (state.role == Role.LEADER || !state.isVoter() || nowNanos - state.electionDeadlineNanos < 0) {
             return false;
         }
         state.leader = Optional.empty();
-        return stand(Role.PRE_CANDIDATE, false, nowNanos);
+        return campaign(Role.PRE_CANDIDATE, false, nowNanos);
     }
 
-    /** Stands at once because the leader of this term gave up; returns whether the election is won at once. */
-    boolean onHandOver(LogMessage.HandOver handOver, long nowNanos) {
-        boolean meant = handOver.term() == state.term && handOver.incarnation() == state.self.incarnation();
-        if (!meant || state.role == Role.LEADER || !state.isVoter()) {
+    /**
+     * Starts an election without waiting for the timeout or a pre-vote, because the leader of this term transferred its
+     * leadership to this replica; returns whether this replica is elected at once.
+     */
+    boolean onTransferLeadership(LogMessage.HandOver transfer, long nowNanos) {
+        boolean forThisNode = transfer.term() == state.term && transfer.incarnation() == state.self.incarnation();
+        if (!forThisNode || state.role == Role.LEADER || !state.isVoter()) {
             return false;
         }
         state.leader = Optional.empty();
         state.adoptTerm(state.term + 1, Optional.of(state.self.name()));
-        return stand(Role.CANDIDATE, true, nowNanos);
+        return campaign(Role.CANDIDATE, true, nowNanos);
     }
 
     void onRequest(NodeName from, LogMessage.VoteRequest request, long nowNanos) {
@@ -46,13 +49,13 @@
         }
         if (!request.preVote() && request.term() > state.term) {
             state.adoptTerm(request.term(), Optional.empty());
-            state.follow(Optional.empty());
+            state.becomeFollower(Optional.empty());
         }
-        boolean free = request.preVote()
+        boolean voteAvailable = request.preVote()
                 ? request.term() > state.term
                 : request.term() == state.term
                         && state.votedFor.map(from::equals).orElse(true);
-        boolean grant = free && isUpToDate(request);
+        boolean grant = voteAvailable && isUpToDate(request);
         if (grant && !request.preVote()) {
             state.adoptTerm(state.term, Optional.of(from));
             state.resetElectionDeadline(nowNanos);
@@ -60,7 +63,7 @@
         reply(from, request, grant);
     }
 
-    /** Counts a vote; returns whether the election is won by it. */
+    /** Counts a vote; returns whether it wins the election. */
     boolean onReply(NodeName from, LogMessage.VoteReply reply, long nowNanos) {
         if (!reply.granted() || !isForThisElection(reply)) {
             return false;
@@ -68,8 +71,8 @@
         if (!state.log.membership().isVoter(new Member(from, reply.incarnation()))) {
             return false;
         }
-        granted.add(from);
-        return advance(nowNanos);
+        grantedBy.add(from);
+        return advanceIfQuorumGranted(nowNanos);
     }
 
     private boolean isForThisElection(LogMessage.VoteReply reply) {
@@ -80,22 +83,25 @@
         };
     }
 
-    private boolean advance(long nowNanos) {
-        if (granted.size() < state.log.membership().quorum()) {
+    /**
+     * Turns a pre-candidate with a quorum of granted votes into a candidate; returns whether this replica is elected.
+     */
+    private boolean advanceIfQuorumGranted(long nowNanos) {
+        if (grantedBy.size() < state.log.membership().quorum()) {
             return false;
         }
         if (state.role == Role.CANDIDATE) {
             return true;
         }
         state.adoptTerm(state.term + 1, Optional.of(state.self.name()));
-        return stand(Role.CANDIDATE, false, nowNanos);
+        return campaign(Role.CANDIDATE, false, nowNanos);
     }
 
-    private boolean stand(Role role, boolean handedOver, long nowNanos) {
+    private boolean campaign(Role role, boolean leadershipTransferred, long nowNanos) {
         state.role = role;
         state.resetElectionDeadline(nowNanos);
-        granted.clear();
-        granted.add(state.self.name());
+        grantedBy.clear();
+        grantedBy.add(state.self.name());
         boolean preVote = role == Role.PRE_CANDIDATE;
         long electionTerm = preVote ? state.term + 1 : state.term;
         Position last = state.log.last();
@@ -104,23 +110,26 @@
                 state.send(
                         name,
                         new LogMessage.VoteRequest(
-                                electionTerm, preVote, handedOver, incarnation, last.index(), last.term()));
+                                electionTerm, preVote, leadershipTransferred, incarnation, last.index(), last.term()));
             }
         });
-        return advance(nowNanos);
+        return advanceIfQuorumGranted(nowNanos);
     }
 
     private boolean mustRefuse(LogMessage.VoteRequest request, long nowNanos) {
         return request.voterIncarnation() != state.self.incarnation()
                 || request.term() < state.term
                 || state.role == Role.LEADER
-                || leaseMayLast(request, nowNanos);
+                || leaderMayHoldLease(request, nowNanos);
     }
 
-    /** A hand-over tells that the lease of the term before ended; older ones ended before that term began. */
-    private boolean leaseMayLast(LogMessage.VoteRequest request, long nowNanos) {
-        boolean ended = request.handedOver() && !request.preVote() && request.term() > state.term;
-        return !ended && nowNanos - state.refuseVotesUntilNanos < 0;
+    /**
+     * Returns whether a leader may still hold its lease. A leadership transfer proves that none does: the leader of the
+     * previous term gave up its lease, and the leases of older terms ended before that term began.
+     */
+    private boolean leaderMayHoldLease(LogMessage.VoteRequest request, long nowNanos) {
+        boolean leaseEnded = request.handedOver() && !request.preVote() && request.term() > state.term;
+        return !leaseEnded && nowNanos - state.refuseVotesUntilNanos < 0;
     }
 
     private boolean isUpToDate(LogMessage.VoteRequest request) {
--- a/src/main/java/org/wigeongrade/decisions/log/EntryKind.java
+++ b/src/main/java/org/wigeongrade/decisions/log/EntryKind.java
@@ -1,12 +1,12 @@
 package org.wigeongrade.decisions.log;
 
-/** What a log entry carries. The codes are part of the file and message formats. Immutable. */
+/** Kind of a log entry's payload. The codes are part of the file and message formats. Immutable. */
 public enum EntryKind {
     /** A command of the state machine. */
     COMMAND(0),
     /** A new list of voters. */
     MEMBERSHIP(1),
-    /** Nothing; a new leader's first entry, which lets it commit the entries of earlier terms. */
+    /** No payload. A new leader appends it as its first entry, so that it can commit the entries of earlier terms. */
     NO_OP(2);
 
     private final int code;
@@ -19,7 +19,7 @@
         return code;
     }
 
-    /** Returns the kind with a code; throws {@link IllegalArgumentException} if there is none. */
+    /** Returns the kind with this code; throws {@link IllegalArgumentException} if there is none. */
     public static EntryKind of(int code) {
         return switch (code) {
             case 0 -> COMMAND;
--- a/src/main/java/org/wigeongrade/decisions/log/Following.java
+++ b/src/main/java/org/wigeongrade/decisions/log/FollowerRole.java
@@ -5,49 +5,49 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Takes entries and snapshots from the leader of the current term.
+ * Handles the entries and snapshots that the leader of the current term sends.
  *
- * <p>Invariants: a committed entry is never dropped; an entry with the leader's index and term but another digest stops
- * the replica. Not thread safe.
+ * <p>Invariants: a committed entry is never dropped; the replica halts if its entry and the leader's have the same
+ * index and term but different digests. Not thread safe.
  */
-final class Following {
+final class FollowerRole {
     private final CoreState state;
-    private Optional<Position> incoming = Optional.empty();
-    private ByteArrayOutputStream received = new ByteArrayOutputStream();
+    private Optional<Position> incomingSnapshot = Optional.empty();
+    private ByteArrayOutputStream receivedState = new ByteArrayOutputStream();
 
-    Following(CoreState state) {
+    FollowerRole(CoreState state) {
         this.state = state;
     }
 
-    /** Takes an append whose term equals the current one. */
+    /** Handles an append request of the current term. */
     void onAppend(NodeName from, LogMessage.AppendRequest request) {
         Position previous = request.previous();
         if (previous.index() < state.log.base().index()) {
             reply(from, request, true, state.commitIndex);
             return;
         }
-        Optional<Position> own = state.log.at(previous.index());
-        if (own.isEmpty()) {
+        Optional<Position> local = state.log.positionAt(previous.index());
+        if (local.isEmpty()) {
             reply(from, request, false, state.log.lastIndex());
             return;
         }
-        if (own.get().term() != previous.term()) {
-            reply(from, request, false, indexBeforeTerm(own.get()));
+        if (local.get().term() != previous.term()) {
+            reply(from, request, false, lastIndexBeforeTerm(local.get()));
             return;
         }
-        if (!own.get().digest().equals(previous.digest())) {
+        if (!local.get().digest().equals(previous.digest())) {
             state.halt(HaltReason.DIGEST_MISMATCH);
             return;
         }
-        takeEntries(from, request);
+        appendEntries(from, request);
     }
 
-    private void takeEntries(NodeName from, LogMessage.AppendRequest request) {
+    private void appendEntries(NodeName from, LogMessage.AppendRequest request) {
         Digest digest = request.previous().digest();
         long index = request.previous().index();
         for (LogEntry entry : request.entries()) {
-            boolean damaged = entry.index() != index + 1 || !entry.follows(digest);
-            if (damaged || !take(entry)) {
+            boolean corrupt = entry.index() != index + 1 || !entry.follows(digest);
+            if (corrupt || !reconcile(entry)) {
                 return;
             }
             index = entry.index();
@@ -57,14 +57,18 @@
         reply(from, request, true, index);
     }
 
-    private boolean take(LogEntry entry) {
-        Optional<Position> own = state.log.at(entry.index());
-        if (own.isEmpty()) {
+    /**
+     * Appends an entry unless it is present already. Replaces conflicting entries that are not committed. Returns false
+     * if the replica halts instead.
+     */
+    private boolean reconcile(LogEntry entry) {
+        Optional<Position> local = state.log.positionAt(entry.index());
+        if (local.isEmpty()) {
             state.append(entry);
             return true;
         }
-        if (own.get().term() == entry.term()) {
-            return sameDigest(own.get(), entry);
+        if (local.get().term() == entry.term()) {
+            return checkDigest(local.get(), entry);
         }
         if (entry.index() <= state.commitIndex) {
             state.halt(HaltReason.COMMITTED_CONFLICT);
@@ -76,15 +80,16 @@
         return true;
     }
 
-    private boolean sameDigest(Position own, LogEntry entry) {
-        if (own.digest().equals(entry.digest())) {
+    /** Returns whether the digests of two entries with equal index and term are equal; halts the replica if not. */
+    private boolean checkDigest(Position local, LogEntry entry) {
+        if (local.digest().equals(entry.digest())) {
             return true;
         }
         state.halt(HaltReason.DIGEST_MISMATCH);
         return false;
     }
 
-    private long indexBeforeTerm(Position conflicting) {
+    private long lastIndexBeforeTerm(Position conflicting) {
         long index = conflicting.index();
         while (index > state.commitIndex && state.log.hasTermAt(index, conflicting.term())) {
             index--;
@@ -92,33 +97,33 @@
         return index;
     }
 
-    /** Takes a piece of a snapshot whose term equals the current one. */
+    /** Handles a chunk of a snapshot, sent in the current term. */
     void onChunk(NodeName from, LogMessage.SnapshotChunk chunk) {
         Position position = chunk.position();
         if (position.index() <= state.commitIndex || state.log.hasTermAt(position.index(), position.term())) {
             replyChunk(from, chunk, chunk.totalBytes(), true);
             return;
         }
-        boolean started = incoming.filter(position::equals).isPresent();
-        if (!started) {
-            incoming = Optional.of(position);
-            received = new ByteArrayOutputStream();
+        boolean inProgress = incomingSnapshot.filter(position::equals).isPresent();
+        if (!inProgress) {
+            incomingSnapshot = Optional.of(position);
+            receivedState = new ByteArrayOutputStream();
         }
-        if (chunk.offset() == received.size()) {
-            received.writeBytes(chunk.data().array());
+        if (chunk.offset() == receivedState.size()) {
+            receivedState.writeBytes(chunk.data().array());
         }
-        boolean whole = received.size() == chunk.totalBytes();
-        long nextOffset = received.size();
-        if (whole) {
+        boolean complete = receivedState.size() == chunk.totalBytes();
+        long nextOffset = receivedState.size();
+        if (complete) {
             install(chunk);
         }
-        replyChunk(from, chunk, nextOffset, whole);
+        replyChunk(from, chunk, nextOffset, complete);
     }
 
     private void install(LogMessage.SnapshotChunk chunk) {
-        Snapshot snapshot = new Snapshot(chunk.position(), chunk.membership(), Bytes.wrap(received.toByteArray()));
-        incoming = Optional.empty();
-        received = new ByteArrayOutputStream();
+        Snapshot snapshot = new Snapshot(chunk.position(), chunk.membership(), Bytes.wrap(receivedState.toByteArray()));
+        incomingSnapshot = Optional.empty();
+        receivedState = new ByteArrayOutputStream();
         state.log.reset(snapshot);
         long index = snapshot.position().index();
         state.commitIndex = index;
--- a/src/main/java/org/wigeongrade/decisions/log/HaltReason.java
+++ b/src/main/java/org/wigeongrade/decisions/log/HaltReason.java
@@ -1,9 +1,9 @@
 package org.wigeongrade.decisions.log;
 
-/** Why a replica must stop and never continue silently. */
+/** Reason why a replica halts for good instead of continuing with a log that may be wrong. */
 public enum HaltReason {
-    /** The leader holds the same index and term with another digest. */
+    /** The leader's entry has the same index and term as the local one but a different digest. */
     DIGEST_MISMATCH,
-    /** The leader would overwrite an entry that is committed here. */
+    /** The leader sent an entry that would overwrite a locally committed one. */
     COMMITTED_CONFLICT
 }
--- a/src/main/java/org/wigeongrade/decisions/log/HardState.java
+++ b/src/main/java/org/wigeongrade/decisions/log/HardState.java
@@ -4,11 +4,11 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * The term and the vote given in it.
+ * The current term and the vote granted in it.
  *
- * <p>Invariant: durable before any message that follows from it is sent. Immutable; safe for use from any thread.
+ * <p>Invariant: is durable before any message that depends on it is sent. Immutable; safe for use from any thread.
  */
 public record HardState(long term, Optional<NodeName> votedFor) {
-    /** The state of a folder that never took part. */
+    /** The state of a new data folder. */
     public static final HardState INITIAL = new HardState(0, Optional.empty());
 }
--- a/src/main/java/org/wigeongrade/decisions/log/Leading.java
+++ b/src/main/java/org/wigeongrade/decisions/log/LeaderRole.java
@@ -13,36 +13,37 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * What a leader does in one term: replicates, commits, keeps its lease and admits voters.
+ * Leads for one term: replicates and commits entries, maintains the lease and changes the voters.
  *
- * <p>Invariants: only entries of its own term are committed by counting; the lease runs from the send time of a round
- * that a quorum confirmed; one voter changes at a time. Not thread safe.
+ * <p>Invariants: the leader commits only entries of its own term by counting copies, and earlier entries along with
+ * them; the lease starts at a send time that a quorum has acknowledged; a membership change adds or removes one voter.
+ * Not thread safe.
  */
-final class Leading {
-    private static final int MAX_ENTRIES = 1_024;
+final class LeaderRole {
+    private static final int MAX_BATCH_ENTRIES = 1_024;
     private static final int MAX_BATCH_BYTES = 256 * 1024;
     private static final int MAX_CHUNK_BYTES = 256 * 1024;
-    private static final int MAX_UNCONFIRMED_ENTRIES = 8_192;
-    private static final int RESEND_HEARTBEATS = 5;
+    private static final int MAX_UNACKED_ENTRIES = 8_192;
+    private static final int RESEND_AFTER_HEARTBEATS = 5;
 
     private final CoreState state;
     private final Map<NodeName, PeerProgress> peers = new TreeMap<>();
-    private final long sinceNanos;
-    private final long firstIndex;
+    private final long leaderSinceNanos;
+    private final long firstIndexOfTerm;
     private long nextHeartbeatNanos;
 
-    Leading(CoreState state, long nowNanos) {
+    LeaderRole(CoreState state, long nowNanos) {
         this.state = state;
-        this.sinceNanos = nowNanos;
+        this.leaderSinceNanos = nowNanos;
         this.nextHeartbeatNanos = nowNanos;
         addPeers();
-        this.firstIndex = append(EntryKind.NO_OP, Bytes.EMPTY);
+        this.firstIndexOfTerm = append(EntryKind.NO_OP, Bytes.EMPTY);
     }
 
     private void addPeers() {
         addPeers(state.settings.configuredVoters());
         addPeers(state.log.membership().incarnations().keySet());
-        addPeers(state.discovered);
+        addPeers(state.discoveredPeers);
     }
 
     private void addPeers(Collection<NodeName> names) {
@@ -53,13 +54,16 @@
         }
     }
 
-    long sinceNanos() {
-        return sinceNanos;
+    long leaderSinceNanos() {
+        return leaderSinceNanos;
     }
 
-    /** Returns whether an entry of this term is committed, so that the state here is complete. */
+    /**
+     * Returns whether an entry of this term is committed, so that this leader knows every entry committed in earlier
+     * terms.
+     */
     boolean hasCommittedInTerm() {
-        return state.commitIndex >= firstIndex;
+        return state.commitIndex >= firstIndexOfTerm;
     }
 
     long append(EntryKind kind, Bytes payload) {
@@ -68,10 +72,13 @@
         return entry.index();
     }
 
-    /** Proposes a membership that differs by one voter; returns its index, or empty if another change is under way. */
+    /**
+     * Proposes a membership and returns its index. Returns empty if it does not differ by exactly one voter, if another
+     * change is pending or if no entry of this term is committed yet.
+     */
     OptionalLong proposeMembership(Membership next) {
-        boolean busy = state.log.membershipIndex() > state.commitIndex || !hasCommittedInTerm();
-        if (busy || !state.log.membership().differsByOneVoter(next)) {
+        boolean changePending = state.log.membershipIndex() > state.commitIndex || !hasCommittedInTerm();
+        if (changePending || !state.log.membership().differsByOneVoter(next)) {
             return OptionalLong.empty();
         }
         return OptionalLong.of(append(EntryKind.MEMBERSHIP, next.encode()));
@@ -84,25 +91,28 @@
         nextHeartbeatNanos = nowNanos + state.settings.timings().heartbeatNanos();
         addPeers();
         peers.forEach((name, progress) -> heartbeat(name, progress, nowNanos));
-        readmit(nowNanos);
+        promoteLearners(nowNanos);
     }
 
-    /** Returns whether no quorum answered for so long that this leader must step down. */
+    /**
+     * Returns whether this leader must step down because it has heard from no quorum for longer than the longest
+     * election timeout.
+     */
     boolean lostQuorum(long nowNanos) {
-        long contactNanos = quorumConfirmedNanos(nowNanos).orElse(sinceNanos);
-        return nowNanos - contactNanos > state.settings.timings().electionMaxNanos();
+        long lastQuorumContactNanos = quorumAckedSentNanos(nowNanos).orElse(leaderSinceNanos);
+        return nowNanos - lastQuorumContactNanos > state.settings.timings().electionMaxNanos();
     }
 
-    /** Returns when the lease ends on this leader's clock; empty if it has none. */
+    /** Returns when the lease ends, on this leader's clock; empty if it has none. */
     OptionalLong leaseDeadlineNanos(long nowNanos) {
         if (!hasCommittedInTerm()) {
             return OptionalLong.empty();
         }
-        OptionalLong confirmed = quorumConfirmedNanos(nowNanos);
-        return confirmed.isEmpty()
-                ? confirmed
+        OptionalLong ackedSentNanos = quorumAckedSentNanos(nowNanos);
+        return ackedSentNanos.isEmpty()
+                ? ackedSentNanos
                 : OptionalLong.of(
-                        confirmed.getAsLong() + state.settings.timings().leaseNanos());
+                        ackedSentNanos.getAsLong() + state.settings.timings().leaseNanos());
     }
 
     void onAppendReply(NodeName from, LogMessage.AppendReply reply, long nowNanos) {
@@ -110,14 +120,14 @@
         if (progress == null) {
             return;
         }
-        progress.answered(reply.incarnation(), reply.sentNanos(), state.log.lastIndex());
+        progress.onReply(reply.incarnation(), reply.sentNanos(), state.log.lastIndex());
         if (reply.success()) {
-            progress.matched(reply.index());
+            progress.onMatch(reply.index());
             progress.resendDeadlineNanos = resendDeadline(nowNanos);
             advanceCommit();
         } else {
-            progress.rejected(reply.previousIndex(), reply.index());
-            sendNext(from, progress, nowNanos);
+            progress.onReject(reply.previousIndex(), reply.index());
+            sendAppend(from, progress, nowNanos);
         }
     }
 
@@ -126,16 +136,16 @@
         if (progress == null) {
             return;
         }
-        progress.answered(reply.incarnation(), reply.sentNanos(), state.log.lastIndex());
-        boolean current = progress.snapshot
+        progress.onReply(reply.incarnation(), reply.sentNanos(), state.log.lastIndex());
+        boolean current = progress.snapshotPosition
                 .filter(position -> position.index() == reply.snapshotIndex())
                 .isPresent();
         if (!current) {
             return;
         }
         if (reply.installed()) {
-            progress.snapshot = Optional.empty();
-            progress.matched(reply.snapshotIndex());
+            progress.snapshotPosition = Optional.empty();
+            progress.onMatch(reply.snapshotIndex());
             advanceCommit();
         } else if (reply.nextOffset() != progress.snapshotOffset) {
             progress.snapshotOffset = reply.nextOffset();
@@ -143,52 +153,58 @@
         }
     }
 
-    /** Sends what was appended since the last call; a batch of proposals goes out as one message for each peer. */
-    void flush(long nowNanos) {
+    /** Sends the entries appended since the last call, batched into one message for each peer. */
+    void sendNewEntries(long nowNanos) {
         advanceCommit();
         peers.forEach((name, progress) -> {
-            boolean behind = progress.nextIndex <= state.log.lastIndex();
-            boolean room = progress.nextIndex - progress.matchIndex <= MAX_UNCONFIRMED_ENTRIES;
-            if (behind && room && progress.snapshot.isEmpty() && progress.incarnation.isPresent()) {
-                sendNext(name, progress, nowNanos);
+            boolean hasUnsentEntries = progress.nextIndex <= state.log.lastIndex();
+            boolean withinWindow = progress.nextIndex - progress.matchIndex <= MAX_UNACKED_ENTRIES;
+            if (hasUnsentEntries
+                    && withinWindow
+                    && progress.snapshotPosition.isEmpty()
+                    && progress.incarnation.isPresent()) {
+                sendAppend(name, progress, nowNanos);
             }
         });
     }
 
-    /** Returns the voter that holds most of the log and answered within the lease. */
-    Optional<Member> successor(long nowNanos) {
+    /**
+     * Returns the voter with the longest matching log among those that acknowledged a message sent within the last
+     * lease duration.
+     */
+    Optional<Member> transferTarget(long nowNanos) {
         long oldestContactNanos = nowNanos - state.settings.timings().leaseNanos();
         return state.log.membership().incarnations().entrySet().stream()
                 .map(voter -> new Member(voter.getKey(), voter.getValue()))
                 .filter(voter -> progressOf(voter)
-                        .filter(progress -> progress.confirmedSince(oldestContactNanos))
+                        .filter(progress -> progress.hasAckedSince(oldestContactNanos))
                         .isPresent())
-                .max(Comparator.comparingLong(this::matchOf));
+                .max(Comparator.comparingLong(this::matchIndexOf));
     }
 
     private void heartbeat(NodeName name, PeerProgress progress, long nowNanos) {
-        if (progress.snapshot.isPresent()) {
+        if (progress.snapshotPosition.isPresent()) {
             sendChunk(name, progress, nowNanos);
             return;
         }
-        boolean unconfirmed = progress.nextIndex > progress.matchIndex + 1;
-        if (unconfirmed && nowNanos - progress.resendDeadlineNanos > 0 && progress.incarnation.isPresent()) {
+        boolean hasUnacked = progress.nextIndex > progress.matchIndex + 1;
+        if (hasUnacked && nowNanos - progress.resendDeadlineNanos > 0 && progress.incarnation.isPresent()) {
             progress.nextIndex = progress.matchIndex + 1;
         }
-        sendNext(name, progress, nowNanos);
+        sendAppend(name, progress, nowNanos);
     }
 
-    private void sendNext(NodeName name, PeerProgress progress, long nowNanos) {
-        Optional<Position> previous = state.log.at(progress.nextIndex - 1);
+    private void sendAppend(NodeName name, PeerProgress progress, long nowNanos) {
+        Optional<Position> previous = state.log.positionAt(progress.nextIndex - 1);
         if (previous.isEmpty()) {
             startSnapshot(name, progress, nowNanos);
             return;
         }
         ImmutableList<LogEntry> entries = progress.incarnation.isEmpty()
                 ? ImmutableList.of()
-                : state.log.from(progress.nextIndex, MAX_ENTRIES, MAX_BATCH_BYTES);
-        boolean nothingUnconfirmed = progress.nextIndex == progress.matchIndex + 1;
-        if (nothingUnconfirmed) {
+                : state.log.entriesFrom(progress.nextIndex, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES);
+        boolean allAcked = progress.nextIndex == progress.matchIndex + 1;
+        if (allAcked) {
             progress.resendDeadlineNanos = resendDeadline(nowNanos);
         }
         progress.nextIndex += entries.size();
@@ -197,21 +213,21 @@
     }
 
     private void startSnapshot(NodeName name, PeerProgress progress, long nowNanos) {
-        progress.snapshot = state.log.snapshot().map(Snapshot::position);
+        progress.snapshotPosition = state.log.snapshot().map(Snapshot::position);
         progress.snapshotOffset = 0;
         sendChunk(name, progress, nowNanos);
     }
 
     private void sendChunk(NodeName name, PeerProgress progress, long nowNanos) {
         Snapshot snapshot = state.log.snapshot().orElseThrow();
-        if (!progress.snapshot.equals(Optional.of(snapshot.position()))) {
-            progress.snapshot = Optional.of(snapshot.position());
+        if (!progress.snapshotPosition.equals(Optional.of(snapshot.position()))) {
+            progress.snapshotPosition = Optional.of(snapshot.position());
             progress.snapshotOffset = 0;
         }
-        byte[] whole = snapshot.state().array();
-        int from = Math.toIntExact(Math.min(progress.snapshotOffset, whole.length));
-        int to = Math.min(whole.length, from + MAX_CHUNK_BYTES);
-        byte[] data = Arrays.copyOfRange(whole, from, to);
+        byte[] machineState = snapshot.state().array();
+        int from = Math.toIntExact(Math.min(progress.snapshotOffset, machineState.length));
+        int to = Math.min(machineState.length, from + MAX_CHUNK_BYTES);
+        byte[] data = Arrays.copyOfRange(machineState, from, to);
         state.outputs.sendImmediately(
                 name,
                 new LogMessage.SnapshotChunk(
@@ -219,36 +235,38 @@
                         snapshot.position(),
                         snapshot.membership(),
                         from,
-                        whole.length,
+                        machineState.length,
                         Bytes.wrap(data),
                         nowNanos));
     }
 
     private void advanceCommit() {
         Membership membership = state.log.membership();
-        List<Long> matches = new ArrayList<>();
-        membership.incarnations().forEach((name, incarnation) -> matches.add(matchOf(new Member(name, incarnation))));
-        matches.sort(Comparator.reverseOrder());
-        long index = matches.get(state.settings.voterPolicy().copies(membership) - 1);
+        List<Long> matchIndexes = new ArrayList<>();
+        membership
+                .incarnations()
+                .forEach((name, incarnation) -> matchIndexes.add(matchIndexOf(new Member(name, incarnation))));
+        matchIndexes.sort(Comparator.reverseOrder());
+        long index = matchIndexes.get(state.settings.voterPolicy().requiredCopies(membership) - 1);
         if (index > state.commitIndex && state.log.hasTermAt(index, state.term)) {
             state.commitUpTo(index);
         }
     }
 
-    private long matchOf(Member voter) {
+    private long matchIndexOf(Member voter) {
         if (voter.equals(state.self)) {
             return state.durableIndex;
         }
         return progressOf(voter).map(progress -> progress.matchIndex).orElse(0L);
     }
 
-    private OptionalLong quorumConfirmedNanos(long nowNanos) {
+    private OptionalLong quorumAckedSentNanos(long nowNanos) {
         Membership membership = state.log.membership();
         List<Long> agesNanos = new ArrayList<>();
         membership
                 .incarnations()
-                .forEach((name, incarnation) -> confirmedOf(new Member(name, incarnation), nowNanos)
-                        .ifPresent(confirmedNanos -> agesNanos.add(nowNanos - confirmedNanos)));
+                .forEach((name, incarnation) -> ackedSentNanosOf(new Member(name, incarnation), nowNanos)
+                        .ifPresent(ackedSentNanos -> agesNanos.add(nowNanos - ackedSentNanos)));
         if (agesNanos.size() < membership.quorum()) {
             return OptionalLong.empty();
         }
@@ -256,11 +274,11 @@
         return OptionalLong.of(nowNanos - agesNanos.get(membership.quorum() - 1));
     }
 
-    private OptionalLong confirmedOf(Member voter, long nowNanos) {
+    private OptionalLong ackedSentNanosOf(Member voter, long nowNanos) {
         if (voter.equals(state.self)) {
             return OptionalLong.of(nowNanos);
         }
-        return progressOf(voter).map(progress -> progress.confirmedSentNanos).orElse(OptionalLong.empty());
+        return progressOf(voter).map(progress -> progress.ackedSentNanos).orElse(OptionalLong.empty());
     }
 
     private Optional<PeerProgress> progressOf(Member voter) {
@@ -268,15 +286,15 @@
                 .filter(progress -> progress.incarnation.equals(OptionalLong.of(voter.incarnation())));
     }
 
-    private void readmit(long nowNanos) {
+    private void promoteLearners(long nowNanos) {
         long oldestContactNanos = nowNanos - state.settings.timings().leaseNanos();
         List<Member> caughtUp = new ArrayList<>();
         peers.forEach((name, progress) -> {
-            if (progress.confirmedSince(oldestContactNanos) && progress.matchIndex >= state.commitIndex) {
+            if (progress.hasAckedSince(oldestContactNanos) && progress.matchIndex >= state.commitIndex) {
                 caughtUp.add(new Member(name, progress.incarnation.getAsLong()));
             }
         });
-        ReadmissionRule.next(state.log.membership(), caughtUp, silentVoters(nowNanos), state.settings.voterPolicy())
+        PromotionRule.next(state.log.membership(), caughtUp, silentVoters(nowNanos), state.settings.voterPolicy())
                 .ifPresent(this::proposeMembership);
     }
 
@@ -284,12 +302,12 @@
         long silentNanos = state.settings.voterPolicy().replaceSilentAfterNanos();
         return state.log.membership().incarnations().entrySet().stream()
                 .map(voter -> new Member(voter.getKey(), voter.getValue()))
-                .filter(voter -> nowNanos - confirmedOf(voter, nowNanos).orElse(sinceNanos) > silentNanos)
+                .filter(voter -> nowNanos - ackedSentNanosOf(voter, nowNanos).orElse(leaderSinceNanos) > silentNanos)
                 .map(Member::name)
                 .toList();
     }
 
     private long resendDeadline(long nowNanos) {
-        return nowNanos + RESEND_HEARTBEATS * state.settings.timings().heartbeatNanos();
+        return nowNanos + RESEND_AFTER_HEARTBEATS * state.settings.timings().heartbeatNanos();
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/log/LogMessage.java
+++ b/src/main/java/org/wigeongrade/decisions/log/LogMessage.java
@@ -4,50 +4,58 @@
 import com.google.common.collect.ImmutableSortedSet;
 import org.wigeongrade.ids.NodeName;
 
-/** What the control VMs say to one another about the log. Immutable; safe for use from any thread. */
+/** Message that the control VMs exchange to replicate the log. Immutable; safe for use from any thread. */
 public sealed interface LogMessage {
     /**
-     * Asks for a vote, or with {@code preVote} whether a vote would be given.
+     * Asks for a vote or, with {@code preVote}, whether a vote would be granted.
      *
-     * @param term the term that the candidate stands for
-     * @param handedOver the leader of the term before gave up its lead and lease to this candidate
-     * @param voterIncarnation the incarnation whose vote counts; any other must refuse
+     * @param term the term for which the candidate wants to be elected
+     * @param handedOver whether the leader of the previous term gave up its leadership and lease in favour of this
+     *     candidate
+     * @param voterIncarnation the incarnation whose vote counts; a voter with any other incarnation must refuse
      */
     record VoteRequest(
             long term, boolean preVote, boolean handedOver, long voterIncarnation, long lastIndex, long lastTerm)
             implements LogMessage {}
 
-    /** Tells a voter that the leader of this term gave up its lead and lease, and that it may stand at once. */
+    /**
+     * Tells a voter that the leader of this term gave up its leadership and lease, and that the voter may start an
+     * election at once.
+     */
     record HandOver(long term, long incarnation) implements LogMessage {}
 
     /**
      * Answers a vote request.
      *
      * @param term the voter's own term
-     * @param electionTerm the term that was asked for
+     * @param electionTerm the term of the vote request
      */
     record VoteReply(long term, long electionTerm, boolean preVote, boolean granted, long incarnation)
             implements LogMessage {}
 
     /**
-     * Entries, or a heartbeat if there are none.
+     * Sends entries; without entries it is a heartbeat.
      *
-     * @param sentNanos the leader's clock at the send; the reply repeats it
+     * @param sentNanos the send time on the leader's clock; the reply echoes it
      */
     record AppendRequest(
             long term, Position previous, ImmutableList<LogEntry> entries, long commitIndex, long sentNanos)
             implements LogMessage {}
 
     /**
-     * Answers an append.
+     * Answers an append request.
      *
-     * @param index if successful, the last index known to equal the leader's and durable; else where to try next
-     * @param previousIndex repeats the request's previous index
+     * @param index if successful, the last index up to which the log is durable and equal to the leader's; otherwise
+     *     the previous index to try next
+     * @param previousIndex the previous index of the request, echoed
      */
     record AppendReply(long term, long incarnation, boolean success, long index, long previousIndex, long sentNanos)
             implements LogMessage {}
 
-    /** A piece of a snapshot, from {@code offset}; {@code totalBytes} is the size of the whole state. */
+    /**
+     * Sends the chunk of a snapshot's state that starts at {@code offset}; {@code totalBytes} is the size of the whole
+     * state.
+     */
     record SnapshotChunk(
             long term,
             Position position,
@@ -58,14 +66,19 @@
             long sentNanos)
             implements LogMessage {}
 
-    /** Answers a piece: {@code nextOffset} is wanted next; the snapshot is installed once it equals the total. */
+    /**
+     * Answers a snapshot chunk. {@code nextOffset} is where the next chunk must start; the snapshot is installed once
+     * it equals the total.
+     */
     record SnapshotReply(
             long term, long incarnation, long snapshotIndex, long nextOffset, boolean installed, long sentNanos)
             implements LogMessage {}
 
-    /** Asks a configured voter whether its data folder is brand-new. */
+    /** Asks a configured voter whether its data folder is new. */
     record EmptyProbe(long round, ImmutableSortedSet<NodeName> configuredVoters) implements LogMessage {}
 
-    /** Answers a probe; {@code empty} only if the folder is brand-new and the configured voters are the same. */
+    /**
+     * Answers a probe; {@code empty} is true only if the folder is new and both nodes have the same configured voters.
+     */
     record EmptyProbeReply(long round, long incarnation, boolean empty) implements LogMessage {}
 }
--- a/src/main/java/org/wigeongrade/decisions/log/LogTimings.java
+++ b/src/main/java/org/wigeongrade/decisions/log/LogTimings.java
@@ -6,7 +6,8 @@
 /**
  * Time settings of the log, in nanoseconds.
  *
- * <p>Invariant: heartbeat &lt; lease &lt; shortest election timeout, which keeps two leaders' leases apart. Immutable.
+ * <p>Invariant: heartbeat &lt; lease &lt; shortest election timeout, so that the leases of two leaders never overlap.
+ * Immutable.
  */
 public record LogTimings(long heartbeatNanos, long electionMinNanos, long electionMaxNanos, long leaseNanos) {
     /** Heartbeat 100 ms, election timeout 600 to 1,200 ms, leader lease 500 ms. */
@@ -21,12 +22,12 @@
         }
     }
 
-    /** Returns timings given in milliseconds. */
+    /** Returns the timings for durations in milliseconds. */
     public static LogTimings ofMs(long heartbeatMs, long electionMinMs, long electionMaxMs, long leaseMs) {
         return new LogTimings(nanos(heartbeatMs), nanos(electionMinMs), nanos(electionMaxMs), nanos(leaseMs));
     }
 
-    long randomElectionNanos(RandomGenerator random) {
+    long randomElectionTimeoutNanos(RandomGenerator random) {
         return random.nextLong(electionMinNanos, electionMaxNanos);
     }
 
--- a/src/main/java/org/wigeongrade/decisions/log/Member.java
+++ b/src/main/java/org/wigeongrade/decisions/log/Member.java
@@ -5,7 +5,7 @@
 /**
  * A node together with the incarnation of its data folder.
  *
- * <p>Invariant: a folder that was lost never comes back under the same incarnation, so what a member promised it
- * still holds. Immutable; safe for use from any thread.
+ * <p>Invariant: a lost folder never comes back under the same incarnation, so a member still stores every vote and
+ * entry that it acknowledged. Immutable; safe for use from any thread.
  */
 public record Member(NodeName name, long incarnation) {}
--- a/src/main/java/org/wigeongrade/decisions/log/Membership.java
+++ b/src/main/java/org/wigeongrade/decisions/log/Membership.java
@@ -12,13 +12,13 @@
 /**
  * The voters, each with the incarnation of its data folder.
  *
- * <p>Invariant: at most one incarnation of a node votes. Immutable; safe for use from any thread.
+ * <p>Invariant: at most one incarnation of each node is a voter. Immutable; safe for use from any thread.
  */
 public record Membership(ImmutableSortedMap<NodeName, Long> incarnations) {
-    /** No voters: the state of a folder that knows nothing yet. */
+    /** No voters: the membership of a replica whose log and snapshot hold none yet. */
     public static final Membership NONE = new Membership(ImmutableSortedMap.of());
 
-    /** Returns the membership with these voters. */
+    /** Returns the membership that consists of these voters. */
     public static Membership of(Map<NodeName, Long> incarnations) {
         return new Membership(ImmutableSortedMap.copyOf(incarnations));
     }
@@ -29,7 +29,7 @@
                 .isPresent();
     }
 
-    /** Returns how many voters make a quorum. */
+    /** Returns how many voters form a quorum. */
     public int quorum() {
         return incarnations.size() / 2 + 1;
     }
@@ -41,7 +41,10 @@
         return of(rest);
     }
 
-    /** Returns this membership with one more voter; the node must not be a voter under another incarnation. */
+    /**
+     * Returns this membership with one more voter; throws {@link IllegalArgumentException} if the node is a voter
+     * already, under any incarnation.
+     */
     public Membership with(Member member) {
         Map<NodeName, Long> more = new TreeMap<>(incarnations);
         if (more.putIfAbsent(member.name(), member.incarnation()) != null) {
@@ -50,14 +53,17 @@
         return of(more);
     }
 
-    /** Returns whether exactly one voter was added or removed, which keeps every old and new quorum overlapping. */
+    /**
+     * Returns whether {@code next} adds or removes exactly one voter. Then every quorum of the one membership overlaps
+     * every quorum of the other.
+     */
     boolean differsByOneVoter(Membership next) {
         return Sets.symmetricDifference(incarnations.entrySet(), next.incarnations.entrySet())
                         .size()
                 == 1;
     }
 
-    /** Encodes the voters as UTF-8 lines {@code name incarnation}. */
+    /** Encodes the voters in UTF-8, each as a line {@code name incarnation}. */
     public Bytes encode() {
         StringBuilder text = new StringBuilder();
         incarnations.forEach((name, incarnation) ->
@@ -65,7 +71,7 @@
         return Bytes.wrap(text.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Reads what {@link #encode} wrote; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Decodes the output of {@link #encode}; throws {@link IllegalArgumentException} if it is malformed. */
     public static Membership decode(Bytes bytes) {
         String text =
                 StandardCharsets.UTF_8.decode(ByteBuffer.wrap(bytes.array())).toString();
--- a/src/main/java/org/wigeongrade/decisions/log/MemoryLog.java
+++ b/src/main/java/org/wigeongrade/decisions/log/MemoryLog.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * The entries in memory after a base position, with the latest snapshot and the memberships they carry.
+ * The log in memory: the entries after a base position, the latest snapshot and the memberships that these contain.
  *
  * <p>Invariant: entries follow the base without a gap; the base is not past the snapshot. Not thread safe.
  */
@@ -37,7 +37,7 @@
         return snapshot;
     }
 
-    /** Returns about how much memory the entries take. */
+    /** Returns the approximate memory use of the entries, in bytes. */
     long retainedBytes() {
         return retainedBytes;
     }
@@ -50,8 +50,8 @@
         return base.index() + entries.size();
     }
 
-    /** Returns the position at an index, unless it is before the base or past the end. */
-    Optional<Position> at(long index) {
+    /** Returns the position at an index; empty if it is before the base or past the end. */
+    Optional<Position> positionAt(long index) {
         if (index == base.index()) {
             return Optional.of(base);
         }
@@ -66,11 +66,14 @@
     }
 
     boolean hasTermAt(long index, long term) {
-        return at(index).filter(position -> position.term() == term).isPresent();
+        return positionAt(index).filter(position -> position.term() == term).isPresent();
     }
 
-    /** Returns entries from an index, up to a count and a size; always at least one if there is one. */
-    ImmutableList<LogEntry> from(long index, int maxEntries, int maxBytes) {
+    /**
+     * Returns the entries from an index on, limited by count and by size. Returns at least one if there is any: the
+     * entry that reaches the size limit is included.
+     */
+    ImmutableList<LogEntry> entriesFrom(long index, int maxEntries, int maxBytes) {
         ImmutableList.Builder<LogEntry> found = ImmutableList.builder();
         long end = Math.min(lastIndex(), index + maxEntries - 1);
         int sizeBytes = 0;
@@ -84,7 +87,8 @@
 
     void append(LogEntry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalStateException("entry " + entry.index() + " does not follow " + lastIndex());
+            throw new IllegalStateException(
+                    "entry " + entry.index() + " does not follow the last entry, " + lastIndex());
         }
         entries.add(entry);
         retainedBytes += sizeBytes(entry);
@@ -95,7 +99,7 @@
         }
     }
 
-    /** Drops the entries at an index and after. */
+    /** Removes the entry at an index and all later ones. */
     void truncateFrom(long index) {
         drop(entries.subList(offset(index), entries.size()));
         memberships.removeIf(at -> at.index() >= index);
@@ -114,7 +118,7 @@
                 : memberships.get(memberships.size() - 1).index();
     }
 
-    /** Returns the membership in force at an index that is not before the snapshot. */
+    /** Returns the membership in force at an index, which must not be before the snapshot. */
     Membership membershipAt(long index) {
         return memberships.stream()
                 .filter(at -> at.index() <= index)
@@ -123,19 +127,22 @@
                 .orElse(Membership.NONE);
     }
 
-    /** Takes a snapshot of its own state and drops entries up to a position not past it. */
+    /**
+     * Records a snapshot of the local state machine and drops the entries up to {@code newBase}, which must not be past
+     * it.
+     */
     void compact(Snapshot taken, Position newBase) {
         snapshot = Optional.of(taken);
         if (newBase.index() > base.index()) {
             drop(entries.subList(0, offset(newBase.index() + 1)));
             base = newBase;
         }
-        long keptFrom = taken.position().index();
-        memberships.removeIf(at -> at.index() <= keptFrom);
-        memberships.add(0, new MembershipAt(keptFrom, taken.membership()));
+        long snapshotIndex = taken.position().index();
+        memberships.removeIf(at -> at.index() <= snapshotIndex);
+        memberships.add(0, new MembershipAt(snapshotIndex, taken.membership()));
     }
 
-    /** Replaces everything by a snapshot. */
+    /** Replaces the whole log by a snapshot. */
     void reset(Snapshot installed) {
         drop(entries);
         memberships.clear();
--- a/src/main/java/org/wigeongrade/decisions/log/Outputs.java
+++ b/src/main/java/org/wigeongrade/decisions/log/Outputs.java
@@ -6,28 +6,30 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * What the driver must do, in this order: write the hard state; send {@link #immediate}; store the snapshot and restore
- * the state machine from it; append and sync the entries; send {@link #afterPersist}; apply the committed entries.
+ * Actions that the driver of {@link RaftCore} must perform, in this order: write the hard state; send {@link
+ * #immediate}; store the snapshot and restore the state machine from it; append and sync the entries; send {@link
+ * #afterPersist}; apply the committed entries.
  *
- * <p>Invariant: nothing in {@link #afterPersist} leaves before everything drained so far is synced. Not thread safe.
+ * <p>Invariant: no message in {@link #afterPersist} is sent before everything drained so far is synced to disk. Not
+ * thread safe.
  */
 public final class Outputs {
-    /** A message and the node it goes to. */
-    public record Outgoing(NodeName to, LogMessage message) {}
+    /** A message and its destination. */
+    public record OutgoingMessage(NodeName to, LogMessage message) {}
 
     private Optional<HardState> hardState = Optional.empty();
     private Optional<Snapshot> installed = Optional.empty();
     private Optional<HaltReason> halt = Optional.empty();
     private final List<LogEntry> entries = new ArrayList<>();
     private final List<LogEntry> committed = new ArrayList<>();
-    private final List<Outgoing> immediate = new ArrayList<>();
-    private final List<Outgoing> afterPersist = new ArrayList<>();
+    private final List<OutgoingMessage> immediate = new ArrayList<>();
+    private final List<OutgoingMessage> afterPersist = new ArrayList<>();
 
     public Optional<HardState> hardState() {
         return hardState;
     }
 
-    /** Returns a snapshot that replaces the whole log and state. */
+    /** Returns the snapshot that replaces the whole log and state, if there is one. */
     public Optional<Snapshot> installed() {
         return installed;
     }
@@ -36,7 +38,7 @@
         return halt;
     }
 
-    /** Returns the entries to append; an entry drops everything stored at its index and after. */
+    /** Returns the entries to append; an entry replaces the one stored at its index and all later ones. */
     public List<LogEntry> entries() {
         return entries;
     }
@@ -45,15 +47,15 @@
         return committed;
     }
 
-    public List<Outgoing> immediate() {
+    public List<OutgoingMessage> immediate() {
         return immediate;
     }
 
-    public List<Outgoing> afterPersist() {
+    public List<OutgoingMessage> afterPersist() {
         return afterPersist;
     }
 
-    /** Returns whether there is nothing to do. */
+    /** Returns whether there is no action to perform. */
     public boolean isEmpty() {
         return hardState.isEmpty()
                 && installed.isEmpty()
@@ -87,10 +89,10 @@
     }
 
     void send(NodeName to, LogMessage message) {
-        afterPersist.add(new Outgoing(to, message));
+        afterPersist.add(new OutgoingMessage(to, message));
     }
 
     void sendImmediately(NodeName to, LogMessage message) {
-        immediate.add(new Outgoing(to, message));
+        immediate.add(new OutgoingMessage(to, message));
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/log/PeerProgress.java
+++ b/src/main/java/org/wigeongrade/decisions/log/PeerProgress.java
@@ -4,51 +4,52 @@
 import java.util.OptionalLong;
 
 /**
- * What the leader knows of one peer's log.
+ * What the leader knows about one peer's log.
  *
- * <p>Invariant: everything up to {@code matchIndex} is durable on {@code incarnation}. Not thread safe.
+ * <p>Invariant: the peer with {@code incarnation} has durably stored every entry up to {@code matchIndex}. Not thread
+ * safe.
  */
 final class PeerProgress {
     OptionalLong incarnation = OptionalLong.empty();
     long matchIndex;
     long nextIndex;
-    /** Latest send time, on the leader's clock, that the peer confirmed in this term. */
-    OptionalLong confirmedSentNanos = OptionalLong.empty();
+    /** Send time, on the leader's clock, of the latest message that the peer acknowledged in this term. */
+    OptionalLong ackedSentNanos = OptionalLong.empty();
 
     long resendDeadlineNanos;
-    Optional<Position> snapshot = Optional.empty();
+    Optional<Position> snapshotPosition = Optional.empty();
     long snapshotOffset;
 
     PeerProgress(long nextIndex) {
         this.nextIndex = nextIndex;
     }
 
-    /** Notes an answer; an unknown incarnation starts from nothing. */
-    void answered(long newIncarnation, long sentNanos, long lastIndex) {
+    /** Records a reply; resets the progress if it comes from an incarnation other than the known one. */
+    void onReply(long newIncarnation, long sentNanos, long lastIndex) {
         boolean known = incarnation.isPresent() && incarnation.getAsLong() == newIncarnation;
         if (!known) {
             incarnation = OptionalLong.of(newIncarnation);
             matchIndex = 0;
             nextIndex = Math.min(nextIndex, lastIndex + 1);
-            confirmedSentNanos = OptionalLong.empty();
-            snapshot = Optional.empty();
+            ackedSentNanos = OptionalLong.empty();
+            snapshotPosition = Optional.empty();
         }
-        boolean newer = confirmedSentNanos.isEmpty() || sentNanos - confirmedSentNanos.getAsLong() > 0;
+        boolean newer = ackedSentNanos.isEmpty() || sentNanos - ackedSentNanos.getAsLong() > 0;
         if (newer) {
-            confirmedSentNanos = OptionalLong.of(sentNanos);
+            ackedSentNanos = OptionalLong.of(sentNanos);
         }
     }
 
-    boolean confirmedSince(long sinceNanos) {
-        return confirmedSentNanos.isPresent() && confirmedSentNanos.getAsLong() - sinceNanos >= 0;
+    boolean hasAckedSince(long sinceNanos) {
+        return ackedSentNanos.isPresent() && ackedSentNanos.getAsLong() - sinceNanos >= 0;
     }
 
-    void matched(long index) {
+    void onMatch(long index) {
         matchIndex = Math.max(matchIndex, index);
         nextIndex = Math.max(nextIndex, matchIndex + 1);
     }
 
-    void rejected(long previousIndex, long hintIndex) {
+    void onReject(long previousIndex, long hintIndex) {
         if (previousIndex > matchIndex) {
             nextIndex = Math.max(matchIndex, Math.min(hintIndex, previousIndex - 1)) + 1;
         }
--- a/src/main/java/org/wigeongrade/decisions/log/ReadmissionRule.java
+++ b/src/main/java/org/wigeongrade/decisions/log/PromotionRule.java
@@ -6,32 +6,34 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Admits learners that caught up as voters, until there are as many as the policy wants.
+ * Chooses the next membership change, so that caught-up learners become voters until there are as many voters as the
+ * policy wants.
  *
- * <p>What: removes a lost incarnation, or a voter that was silent for long, in one change and adds the learner in the
- * next. Why: replacing a voter in a single change would allow an old and a new quorum without a common voter. Stateless.
+ * <p>A replacement takes two changes: the first removes the lost incarnation, or a voter that has been silent for too
+ * long, and the next adds the learner. Replacing a voter in a single change could leave an old and a new quorum without
+ * a common voter. Stateless.
  */
-final class ReadmissionRule {
-    private ReadmissionRule() {}
+final class PromotionRule {
+    private PromotionRule() {}
 
     /**
-     * Returns the next membership.
+     * Returns the membership to propose next; empty if none is needed.
      *
      * @param caughtUp nodes that hold every committed entry
-     * @param silent voters that did not answer for longer than the policy allows
+     * @param silent voters that have not replied for longer than the policy allows
      */
     static Optional<Membership> next(
             Membership current, Collection<Member> caughtUp, Collection<NodeName> silent, VoterPolicy policy) {
         return caughtUp.stream()
                 .filter(member -> !current.isVoter(member))
-                .sorted(Comparator.comparing(member -> !isListed(current, member)))
+                .sorted(Comparator.comparing(member -> !hasVoterNamed(current, member)))
                 .findFirst()
-                .flatMap(member -> step(current, member, silent, policy));
+                .flatMap(member -> nextChange(current, member, silent, policy));
     }
 
-    private static Optional<Membership> step(
+    private static Optional<Membership> nextChange(
             Membership current, Member member, Collection<NodeName> silent, VoterPolicy policy) {
-        if (isListed(current, member)) {
+        if (hasVoterNamed(current, member)) {
             return Optional.of(current.without(member.name()));
         }
         if (current.incarnations().size() < policy.wantedVoters()) {
@@ -40,7 +42,7 @@
         return silent.stream().findFirst().map(current::without);
     }
 
-    private static boolean isListed(Membership current, Member member) {
+    private static boolean hasVoterNamed(Membership current, Member member) {
         return current.incarnations().containsKey(member.name());
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/log/RaftCore.java
+++ b/src/main/java/org/wigeongrade/decisions/log/RaftCore.java
@@ -7,49 +7,50 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * One replica of the log: messages, ticks, proposals and persist completions go in, {@link Outputs} come out.
+ * One replica of the Raft log, without I/O of its own. Its inputs are messages, ticks, proposals and completed writes;
+ * its results are {@link Outputs}.
  *
- * <p>Invariants: at most one leader for each term; a committed entry is never lost while a quorum of disks survives; two
- * leaders never hold a lease at once, given clocks whose rates differ by less than the lease's margin. After a halt it
- * does nothing more. Not thread safe.
+ * <p>Invariants: there is at most one leader in each term; a committed entry is never lost while a quorum of disks
+ * survives; two leaders never hold a lease at the same time, provided that the clock rates differ by less than the
+ * margin between the lease and the shortest election timeout. A halted replica does nothing more. Not thread safe.
  */
 public final class RaftCore {
     private final CoreState state;
     private final Bootstrap bootstrap;
     private final Election election;
-    private final Following following;
-    private Optional<Leading> leading = Optional.empty();
+    private final FollowerRole followerRole;
+    private Optional<LeaderRole> leaderRole = Optional.empty();
 
     public RaftCore(CoreSettings settings, RecoveredState recovered, RandomGenerator random, long nowNanos) {
         this.state = new CoreState(settings, recovered, random, nowNanos);
         this.bootstrap = new Bootstrap(state, nowNanos);
         this.election = new Election(state);
-        this.following = new Following(state);
+        this.followerRole = new FollowerRole(state);
     }
 
-    /** Lets time pass; call it several times in each heartbeat interval. */
+    /** Handles the passing of time; must be called several times in each heartbeat interval. */
     public void tick(long nowNanos) {
         if (state.halted.isPresent()) {
             return;
         }
         bootstrap.tick(nowNanos);
-        if (leading.isPresent() && leading.get().lostQuorum(nowNanos)) {
+        if (leaderRole.isPresent() && leaderRole.get().lostQuorum(nowNanos)) {
             stepDown(Optional.empty(), nowNanos);
         }
-        leading.ifPresent(leader -> leader.tick(nowNanos));
+        leaderRole.ifPresent(leader -> leader.tick(nowNanos));
         if (election.tick(nowNanos)) {
-            lead(nowNanos);
+            becomeLeader(nowNanos);
         }
     }
 
-    /** Takes the news that a control VM exists; a leader sends to it from its next heartbeat on. */
+    /** Records that a control VM exists; a leader sends to it from the next heartbeat on. */
     public void discover(NodeName peer) {
         if (!peer.equals(state.self.name())) {
-            state.discovered.add(peer);
+            state.discoveredPeers.add(peer);
         }
     }
 
-    /** Takes a message from a peer. */
+    /** Handles a message from a peer. */
     public void receive(NodeName from, LogMessage message, long nowNanos) {
         if (state.halted.isPresent()) {
             return;
@@ -66,8 +67,8 @@
             onChunk(from, chunk, nowNanos);
         } else if (message instanceof LogMessage.SnapshotReply reply) {
             onSnapshotReply(from, reply, nowNanos);
-        } else if (message instanceof LogMessage.HandOver handOver) {
-            onHandOver(handOver, nowNanos);
+        } else if (message instanceof LogMessage.HandOver transfer) {
+            onTransferLeadership(transfer, nowNanos);
         } else if (message instanceof LogMessage.EmptyProbe probe) {
             bootstrap.onProbe(from, probe);
         } else if (message instanceof LogMessage.EmptyProbeReply reply) {
@@ -75,50 +76,60 @@
         }
     }
 
-    /** Appends a command if this replica leads; returns its index. */
+    /** Appends a command and returns its index; returns empty if this replica does not lead or is halted. */
     public OptionalLong propose(Bytes command) {
-        if (state.halted.isPresent() || leading.isEmpty()) {
+        if (state.halted.isPresent() || leaderRole.isEmpty()) {
             return OptionalLong.empty();
         }
-        return OptionalLong.of(leading.get().append(EntryKind.COMMAND, command));
+        return OptionalLong.of(leaderRole.get().append(EntryKind.COMMAND, command));
     }
 
-    /** Proposes a membership that differs by one voter; empty if not leading or if another change is under way. */
+    /**
+     * Proposes a membership and returns its index. Returns empty if this replica does not lead or if the leader cannot
+     * propose it: it must differ by exactly one voter, with no other change pending and an entry of this term
+     * committed.
+     */
     public OptionalLong proposeMembership(Membership next) {
-        return leading.isEmpty() ? OptionalLong.empty() : leading.get().proposeMembership(next);
+        return leaderRole.isEmpty() ? OptionalLong.empty() : leaderRole.get().proposeMembership(next);
     }
 
-    /** Gives up the lead, and tells the voter that holds most of the log to stand; does nothing if not leading. */
+    /**
+     * Gives up leadership and tells the voter with the longest matching log, if one acknowledged a message recently, to
+     * start an election. Does nothing if this replica does not lead.
+     */
     public void handOver(long nowNanos) {
-        if (state.halted.isPresent() || leading.isEmpty()) {
+        if (state.halted.isPresent() || leaderRole.isEmpty()) {
             return;
         }
-        Optional<Member> successor = leading.get().successor(nowNanos);
-        leading.get().flush(nowNanos);
+        Optional<Member> target = leaderRole.get().transferTarget(nowNanos);
+        leaderRole.get().sendNewEntries(nowNanos);
         stepDown(Optional.empty(), nowNanos);
-        successor.ifPresent(next -> state.send(next.name(), new LogMessage.HandOver(state.term, next.incarnation())));
+        target.ifPresent(next -> state.send(next.name(), new LogMessage.HandOver(state.term, next.incarnation())));
     }
 
-    /** Takes the news that the entries up to the one with this index and term are synced. */
+    /** Records that the entries up to the one with this index and term are synced to disk. */
     public void persisted(long index, long term) {
         if (state.log.hasTermAt(index, term)) {
             state.durableIndex = Math.max(state.durableIndex, index);
         }
     }
 
-    /** Takes a snapshot of the state machine at the applied index and drops all but the last entries before it. */
+    /**
+     * Records a snapshot of the state machine at the applied index and returns it. Of the entries up to that index,
+     * keeps the last {@code entriesToKeep} and drops the others.
+     */
     public Snapshot compact(Bytes machineState, long entriesToKeep) {
         long index = state.appliedIndex;
-        Position position = state.log.at(index).orElseThrow();
+        Position position = state.log.positionAt(index).orElseThrow();
         Snapshot taken = new Snapshot(position, state.log.membershipAt(index), machineState);
         long baseIndex = Math.max(state.log.base().index(), index - entriesToKeep);
-        state.log.compact(taken, state.log.at(baseIndex).orElseThrow());
+        state.log.compact(taken, state.log.positionAt(baseIndex).orElseThrow());
         return taken;
     }
 
-    /** Returns what to do since the last call. */
+    /** Returns the outputs since the last call. */
     public Outputs drain(long nowNanos) {
-        leading.ifPresent(leader -> leader.flush(nowNanos));
+        leaderRole.ifPresent(leader -> leader.sendNewEntries(nowNanos));
         Outputs drained = state.outputs;
         state.outputs = new Outputs();
         return drained;
@@ -152,14 +163,14 @@
         return state.log.last();
     }
 
-    /** Returns the entry at an index if it is held in memory. */
+    /** Returns the entry at an index, if it is in memory. */
     public Optional<LogEntry> entry(long index) {
         return state.log.entry(index);
     }
 
-    /** Returns every entry after the base. */
+    /** Returns all entries after the base. */
     public ImmutableList<LogEntry> entriesFromBase() {
-        return state.log.from(state.log.base().index() + 1, Integer.MAX_VALUE, Integer.MAX_VALUE);
+        return state.log.entriesFrom(state.log.base().index() + 1, Integer.MAX_VALUE, Integer.MAX_VALUE);
     }
 
     /** Returns the index of the latest snapshot, 0 if there is none. */
@@ -167,7 +178,7 @@
         return state.log.snapshot().map(taken -> taken.position().index()).orElse(0L);
     }
 
-    /** Returns about how much memory the entries after the base take. */
+    /** Returns the approximate memory use of the entries after the base, in bytes. */
     public long retainedBytes() {
         return state.log.retainedBytes();
     }
@@ -180,36 +191,36 @@
         return state.isVoter();
     }
 
-    /** Returns until when this leader holds its lease, on its own clock; empty if it holds none. */
+    /** Returns when this leader's lease ends, on its own clock; empty if it holds none. */
     public OptionalLong leaseDeadlineNanos(long nowNanos) {
-        return leading.isEmpty() ? OptionalLong.empty() : leading.get().leaseDeadlineNanos(nowNanos);
+        return leaderRole.isEmpty() ? OptionalLong.empty() : leaderRole.get().leaseDeadlineNanos(nowNanos);
     }
 
     /** Returns when this replica became leader; empty if it does not lead. */
     public OptionalLong leaderSinceNanos() {
-        return leading.isEmpty()
+        return leaderRole.isEmpty()
                 ? OptionalLong.empty()
-                : OptionalLong.of(leading.get().sinceNanos());
+                : OptionalLong.of(leaderRole.get().leaderSinceNanos());
     }
 
-    private void onHandOver(LogMessage.HandOver handOver, long nowNanos) {
-        if (election.onHandOver(handOver, nowNanos)) {
-            lead(nowNanos);
+    private void onTransferLeadership(LogMessage.HandOver transfer, long nowNanos) {
+        if (election.onTransferLeadership(transfer, nowNanos)) {
+            becomeLeader(nowNanos);
         }
     }
 
     private void onVoteReply(NodeName from, LogMessage.VoteReply reply, long nowNanos) {
-        if (sawNewerTerm(reply.term(), nowNanos)) {
+        if (stepDownIfNewerTerm(reply.term(), nowNanos)) {
             return;
         }
         if (election.onReply(from, reply, nowNanos)) {
-            lead(nowNanos);
+            becomeLeader(nowNanos);
         }
     }
 
     private void onAppend(NodeName from, LogMessage.AppendRequest request, long nowNanos) {
-        if (acceptsLeader(from, request.term(), nowNanos)) {
-            following.onAppend(from, request);
+        if (acceptLeader(from, request.term(), nowNanos)) {
+            followerRole.onAppend(from, request);
             return;
         }
         long lastIndex = state.log.lastIndex();
@@ -220,12 +231,12 @@
     }
 
     private void onChunk(NodeName from, LogMessage.SnapshotChunk chunk, long nowNanos) {
-        if (acceptsLeader(from, chunk.term(), nowNanos)) {
-            following.onChunk(from, chunk);
+        if (acceptLeader(from, chunk.term(), nowNanos)) {
+            followerRole.onChunk(from, chunk);
         }
     }
 
-    private boolean acceptsLeader(NodeName from, long term, long nowNanos) {
+    private boolean acceptLeader(NodeName from, long term, long nowNanos) {
         if (term < state.term) {
             return false;
         }
@@ -233,23 +244,23 @@
             state.adoptTerm(term, Optional.empty());
         }
         stepDown(Optional.of(from), nowNanos);
-        state.heardFromLeader(nowNanos);
+        state.recordLeaderContact(nowNanos);
         return true;
     }
 
     private void onAppendReply(NodeName from, LogMessage.AppendReply reply, long nowNanos) {
-        if (!sawNewerTerm(reply.term(), nowNanos) && reply.term() == state.term) {
-            leading.ifPresent(leader -> leader.onAppendReply(from, reply, nowNanos));
+        if (!stepDownIfNewerTerm(reply.term(), nowNanos) && reply.term() == state.term) {
+            leaderRole.ifPresent(leader -> leader.onAppendReply(from, reply, nowNanos));
         }
     }
 
     private void onSnapshotReply(NodeName from, LogMessage.SnapshotReply reply, long nowNanos) {
-        if (!sawNewerTerm(reply.term(), nowNanos) && reply.term() == state.term) {
-            leading.ifPresent(leader -> leader.onSnapshotReply(from, reply, nowNanos));
+        if (!stepDownIfNewerTerm(reply.term(), nowNanos) && reply.term() == state.term) {
+            leaderRole.ifPresent(leader -> leader.onSnapshotReply(from, reply, nowNanos));
         }
     }
 
-    private boolean sawNewerTerm(long term, long nowNanos) {
+    private boolean stepDownIfNewerTerm(long term, long nowNanos) {
         if (term <= state.term) {
             return false;
         }
@@ -259,16 +270,16 @@
     }
 
     private void stepDown(Optional<NodeName> newLeader, long nowNanos) {
-        if (leading.isPresent()) {
+        if (leaderRole.isPresent()) {
             state.resetElectionDeadline(nowNanos);
         }
-        leading = Optional.empty();
-        state.follow(newLeader);
+        leaderRole = Optional.empty();
+        state.becomeFollower(newLeader);
     }
 
-    private void lead(long nowNanos) {
+    private void becomeLeader(long nowNanos) {
         state.role = Role.LEADER;
         state.leader = Optional.of(state.self.name());
-        leading = Optional.of(new Leading(state, nowNanos));
+        leaderRole = Optional.of(new LeaderRole(state, nowNanos));
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/log/RecoveredState.java
+++ b/src/main/java/org/wigeongrade/decisions/log/RecoveredState.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * What a data folder held at the start.
+ * State read from the data folder at startup.
  *
  * <p>Invariant: the entries follow the base without a gap, and the base is not past the snapshot. Immutable.
  *
  * @param incarnation identifies the data folder
- * @param mayBootstrap false if an earlier folder of this node was lost, so that it never counts as brand-new
+ * @param mayBootstrap false if an earlier folder of this node was lost, so that this one never counts as new
  */
 public record RecoveredState(
         long incarnation,
@@ -18,7 +18,7 @@
         Optional<Snapshot> snapshot,
         Position base,
         ImmutableList<LogEntry> entries) {
-    /** Returns the state of a new folder. */
+    /** Returns the state of a new data folder. */
     public static RecoveredState fresh(long incarnation, boolean mayBootstrap) {
         return new RecoveredState(
                 incarnation, mayBootstrap, HardState.INITIAL, Optional.empty(), Position.START, ImmutableList.of());
--- a/src/main/java/org/wigeongrade/decisions/log/Role.java
+++ b/src/main/java/org/wigeongrade/decisions/log/Role.java
@@ -1,13 +1,13 @@
 package org.wigeongrade.decisions.log;
 
-/** What a replica does in its current term. */
+/** Role of a replica in its current term. */
 public enum Role {
-    /** Follows the leader; as a learner too, if its incarnation is no voter. */
+    /** Follows the leader. A learner, whose incarnation is not a voter, has this role too. */
     FOLLOWER,
-    /** Asks whether it would be elected; its term stays. */
+    /** Asks the voters whether they would elect it, without changing its term. */
     PRE_CANDIDATE,
-    /** Stands for election in its term. */
+    /** Asks the voters to elect it in its term. */
     CANDIDATE,
-    /** Appends and replicates. */
+    /** Appends and replicates entries. */
     LEADER
 }
--- a/src/main/java/org/wigeongrade/decisions/log/Snapshot.java
+++ b/src/main/java/org/wigeongrade/decisions/log/Snapshot.java
@@ -1,4 +1,4 @@
 package org.wigeongrade.decisions.log;
 
-/** The state machine's state with the log position and the membership that it stands for. Immutable. */
+/** State of the state machine at a log position, with the membership in force there. Immutable. */
 public record Snapshot(Position position, Membership membership, Bytes state) {}
--- a/src/main/java/org/wigeongrade/decisions/log/package-info.java
+++ b/src/main/java/org/wigeongrade/decisions/log/package-info.java
@@ -1,2 +1,5 @@
-/** The replicated log's decisions: elections, replication, leases, membership. No clock, thread, socket or file. */
+/**
+ * Raft consensus for the replicated log: elections, replication, leader leases and membership changes. Uses no clock,
+ * thread, socket or file.
+ */
 package org.wigeongrade.decisions.log;
--- a/src/main/java/org/wigeongrade/decisions/membership/Announcement.java
+++ b/src/main/java/org/wigeongrade/decisions/membership/Announcement.java
@@ -10,10 +10,10 @@
 import org.wigeongrade.ids.VmIncarnation;
 
 /**
- * What an endpoint VM said about itself. {@code address} is {@code ip:port}. {@code orderToken} is the token of the
- * order it follows, or {@link FencingToken#NONE}. {@code running} and {@code waiting} count requests. {@code sequence}
- * counts the announcements of this incarnation. {@code leaseDeadlineNanos} is on the monotonic clock of the VM that
- * keeps the table. Immutable; safe for use from any thread.
+ * State that an endpoint VM announced. {@code address} is {@code ip:port}. {@code orderToken} is the fencing token of
+ * the order that the VM follows, or {@link FencingToken#NONE}. {@code running} and {@code waiting} count requests.
+ * {@code sequence} numbers the announcements of this incarnation. {@code leaseDeadlineNanos} is on the monotonic clock
+ * of the VM that keeps the table. Immutable; safe for use from any thread.
  */
 public record Announcement(
         VmIncarnation vm,
@@ -31,7 +31,7 @@
         int waiting,
         long sequence,
         long leaseDeadlineNanos) {
-    /** Returns whether the VM is in the group by an order at least as new as {@code token}. */
+    /** Returns whether the VM is in the group because of an order with this fencing token or a newer one. */
     public boolean follows(GroupName name, FencingToken token) {
         return group.filter(name::equals).isPresent() && orderToken.compareTo(token) >= 0;
     }
--- a/src/main/java/org/wigeongrade/decisions/membership/AnnouncementTable.java
+++ b/src/main/java/org/wigeongrade/decisions/membership/AnnouncementTable.java
@@ -7,12 +7,12 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * The newest announcement of each endpoint VM.
+ * The latest announcement of each endpoint VM.
  *
  * <p>Invariant: an announcement of an older incarnation, or of the same one with a lower or equal sequence, changes
- * nothing while the newer one is kept. Entries stay for {@link #KEEP_EXPIRED_NANOS} after their lease, so that a late
- * one cannot bring back an older state. Thread safe: each method holds this object's monitor and calls nothing that
- * takes another lock.
+ * nothing while the newer one is kept. Entries are kept for {@link #KEEP_EXPIRED_NANOS} after their lease ends, so that
+ * an announcement that arrives late cannot restore an older state. Thread safe: each method holds this object's monitor
+ * and calls nothing that takes another lock.
  */
 public final class AnnouncementTable {
     /** How long an announcement is kept after its lease deadline, in nanoseconds. */
@@ -20,7 +20,7 @@
 
     private final TreeMap<VmName, Announcement> byVm = new TreeMap<>();
 
-    /** Records an announcement and returns whether it was newer than the one kept. */
+    /** Records an announcement if it is newer than the one kept; returns whether it was recorded. */
     public synchronized boolean record(Announcement announcement) {
         final Announcement kept = byVm.get(announcement.vm().vm());
         if (kept != null && !isNewer(announcement, kept)) {
@@ -43,12 +43,12 @@
         byVm.values().removeIf(kept -> nowNanos - kept.leaseDeadlineNanos() > KEEP_EXPIRED_NANOS);
     }
 
-    /** Returns the announcement of a VM whose lease holds at {@code nowNanos}, if there is one. */
+    /** Returns the announcement of a VM if its lease is valid at {@code nowNanos}. */
     public synchronized Optional<Announcement> live(VmName vm, long nowNanos) {
         return Optional.ofNullable(byVm.get(vm)).filter(kept -> isLive(kept, nowNanos));
     }
 
-    /** Returns the announcements whose leases hold at {@code nowNanos}, in the order of VM names. */
+    /** Returns the announcements whose leases are valid at {@code nowNanos}, ordered by VM name. */
     public synchronized List<Announcement> live(long nowNanos) {
         return byVm.values().stream().filter(kept -> isLive(kept, nowNanos)).collect(ImmutableList.toImmutableList());
     }
--- a/src/main/java/org/wigeongrade/decisions/membership/EndpointKind.java
+++ b/src/main/java/org/wigeongrade/decisions/membership/EndpointKind.java
@@ -2,14 +2,14 @@
 
 import java.util.Locale;
 
-/** Kinds of endpoint VM. Immutable; safe for use from any thread. */
+/** Kind of endpoint VM. Immutable; safe for use from any thread. */
 public enum EndpointKind {
     /** Runs a model engine as a member of a group. */
     ENGINE,
     /** Runs a plain service alone. */
     SERVICE;
 
-    /** Returns the kind as it stands in announcements. */
+    /** Returns the kind as written in announcements. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/wigeongrade/decisions/membership/EndpointState.java
+++ b/src/main/java/org/wigeongrade/decisions/membership/EndpointState.java
@@ -6,16 +6,16 @@
 public enum EndpointState {
     /** Holds no model and belongs to no group. */
     IDLE,
-    /** Reads weights; does not serve yet. */
+    /** Loads the model weights; does not serve yet. */
     LOADING,
-    /** Serves, but bears its cold capacity only. */
+    /** Serves with its reduced cold capacity only. */
     COLD,
-    /** Serves its whole capacity. */
+    /** Serves with its full capacity. */
     WARM,
-    /** Ends the requests in flight and takes no new work. */
+    /** Finishes the requests in flight and takes no new work. */
     LEAVING;
 
-    /** Returns the state as it stands in announcements. */
+    /** Returns the state as written in announcements. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/wigeongrade/decisions/membership/NotServing.java
+++ b/src/main/java/org/wigeongrade/decisions/membership/NotServing.java
@@ -6,48 +6,50 @@
 import org.wigeongrade.ids.VmIncarnation;
 
 /**
- * Why a group may not serve. The constants are checked in their order for each member and the first that applies is
- * given. Immutable; safe for use from any thread.
+ * Reason why a group may not serve. For each member, the constants are checked in the order of their declaration and
+ * the first that applies is reported. Immutable; safe for use from any thread.
  */
 public enum NotServing {
-    /** No announcement of the member has a valid lease, so the group may not be whole. */
+    /** The member has no announcement with a valid lease, so the group may be incomplete. */
     MEMBER_MISSING("has no valid announcement lease") {
         @Override
         boolean applies(FormedGroup group, VmIncarnation member, Optional<Announcement> announcement) {
             return announcement.isEmpty();
         }
     },
-    /** The member's process restarted and holds no part of the model any more. */
+    /** The member's process has restarted and no longer holds its part of the model. */
     MEMBER_RESTARTED("has restarted") {
         @Override
         boolean applies(FormedGroup group, VmIncarnation member, Optional<Announcement> announcement) {
-            return announcement.filter(said -> said.vm().equals(member)).isEmpty();
+            return announcement
+                    .filter(announced -> announced.vm().equals(member))
+                    .isEmpty();
         }
     },
-    /** The member does not follow the order into this group yet. */
+    /** The member does not follow the order to join this group yet. */
     ORDER_NOT_FOLLOWED("does not follow the order to join the group yet") {
         @Override
         boolean applies(FormedGroup group, VmIncarnation member, Optional<Announcement> announcement) {
             return announcement
-                    .filter(said -> said.follows(group.group(), group.fencingToken()))
+                    .filter(announced -> announced.follows(group.group(), group.fencingToken()))
                     .isEmpty();
         }
     },
-    /** The member reads its weights. */
+    /** The member is loading the model weights. */
     MEMBER_LOADING("is loading") {
         @Override
         boolean applies(FormedGroup group, VmIncarnation member, Optional<Announcement> announcement) {
             return announcement
-                    .filter(said -> said.state() == EndpointState.LOADING)
+                    .filter(announced -> announced.state() == EndpointState.LOADING)
                     .isPresent();
         }
     },
-    /** The member ends its requests and takes no new ones. */
+    /** The member finishes its requests and takes no new ones. */
     MEMBER_LEAVING("is leaving") {
         @Override
         boolean applies(FormedGroup group, VmIncarnation member, Optional<Announcement> announcement) {
             return announcement
-                    .filter(said -> said.state() == EndpointState.LEAVING)
+                    .filter(announced -> announced.state() == EndpointState.LEAVING)
                     .isPresent();
         }
     },
@@ -55,7 +57,7 @@
     MEMBER_NOT_SERVING("announces a state in which it does not serve") {
         @Override
         boolean applies(FormedGroup group, VmIncarnation member, Optional<Announcement> announcement) {
-            return announcement.filter(said -> said.state().serves()).isEmpty();
+            return announcement.filter(announced -> announced.state().serves()).isEmpty();
         }
     },
     /** The member has loaded another model version than the group's. */
@@ -68,7 +70,7 @@
                     .isEmpty();
         }
     },
-    /** Operators took the group's availability zone out; decided before any member is looked at. */
+    /** Operators took the group's availability zone out of service. Checked before any member. */
     ZONE_OUT("is in an availability zone that is out of service") {
         @Override
         boolean applies(FormedGroup group, VmIncarnation member, Optional<Announcement> announcement) {
@@ -87,7 +89,7 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the reason as the end of a sentence that begins with the member. */
+    /** Returns the reason as the rest of a sentence whose subject is the member. */
     public String text() {
         return text;
     }
--- a/src/main/java/org/wigeongrade/decisions/membership/ServingLease.java
+++ b/src/main/java/org/wigeongrade/decisions/membership/ServingLease.java
@@ -6,10 +6,16 @@
 
 /** Whether a group may serve, and until when. Immutable; safe for use from any thread. */
 public sealed interface ServingLease {
-    /** Returns when the lease ends on the monotonic clock of the table, in nanoseconds; empty if it does not serve. */
+    /**
+     * Returns when the lease ends, in nanoseconds on the monotonic clock of the announcement table; empty if serving is
+     * refused.
+     */
     OptionalLong deadlineNanos();
 
-    /** Every member is there and serves until {@code untilNanos}; {@code cold} if any member is cold. */
+    /**
+     * The group may serve until {@code untilNanos}, since every member announces that it serves; {@code cold} is true
+     * if any member is cold.
+     */
     record Serving(long untilNanos, boolean cold) implements ServingLease {
         @Override
         public OptionalLong deadlineNanos() {
@@ -17,7 +23,10 @@
         }
     }
 
-    /** The group may not serve, because of one member or, without one, because of the whole group. */
+    /**
+     * The group may not serve, because of {@code member} or, if that is empty, for a reason that concerns the whole
+     * group.
+     */
     record Refused(NotServing reason, Optional<VmName> member) implements ServingLease {
         @Override
         public OptionalLong deadlineNanos() {
--- a/src/main/java/org/wigeongrade/decisions/membership/ServingLeases.java
+++ b/src/main/java/org/wigeongrade/decisions/membership/ServingLeases.java
@@ -10,13 +10,13 @@
 /**
  * Decides whether groups and plain services may serve.
  *
- * <p>Invariant: a lease ends no later than the earliest announcement lease of the members, and there is none while any
- * member is missing. Stateless; safe for use from any thread.
+ * <p>Invariant: a serving lease ends no later than the earliest announcement lease of the members, and a group has none
+ * while any member is missing. Stateless; safe for use from any thread.
  */
 public final class ServingLeases {
     private ServingLeases() {}
 
-    /** Returns the lease of a formed group at {@code nowNanos}, on the clock of the announcement table. */
+    /** Returns the serving lease of a formed group at {@code nowNanos}, on the clock of the announcement table. */
     public static ServingLease of(
             FormedGroup group, Map<AvailabilityZone, ZoneState> zones, AnnouncementTable announcements, long nowNanos) {
         if (!takesNewWork(zones, group.zone())) {
@@ -26,13 +26,13 @@
         boolean cold = false;
         for (final VmIncarnation member : group.members()) {
             final Optional<Announcement> announcement = announcements.live(member.vm(), nowNanos);
-            final Optional<NotServing> reason = reason(group, member, announcement);
+            final Optional<NotServing> reason = firstReason(group, member, announcement);
             if (reason.isPresent()) {
                 return new ServingLease.Refused(reason.get(), Optional.of(member.vm()));
             }
-            final Announcement said = announcement.orElseThrow();
-            untilNanos = Math.min(untilNanos, said.leaseDeadlineNanos());
-            cold |= said.state() == EndpointState.COLD;
+            final Announcement announced = announcement.orElseThrow();
+            untilNanos = Math.min(untilNanos, announced.leaseDeadlineNanos());
+            cold |= announced.state() == EndpointState.COLD;
         }
         return new ServingLease.Serving(untilNanos, cold);
     }
@@ -45,25 +45,30 @@
                 .findFirst();
     }
 
-    /** Returns the lease of a plain service's VM, which serves alone. */
-    public static ServingLease ofService(Announcement said, Map<AvailabilityZone, ZoneState> zones) {
-        if (!takesNewWork(zones, said.zone())) {
+    /**
+     * Returns the serving lease of a plain service's VM, which serves alone. The caller passes an announcement whose
+     * own lease is valid.
+     */
+    public static ServingLease ofService(Announcement announcement, Map<AvailabilityZone, ZoneState> zones) {
+        if (!takesNewWork(zones, announcement.zone())) {
             return new ServingLease.Refused(
-                    NotServing.ZONE_OUT, Optional.of(said.vm().vm()));
+                    NotServing.ZONE_OUT, Optional.of(announcement.vm().vm()));
         }
-        if (!said.state().serves()) {
-            final NotServing reason =
-                    said.state() == EndpointState.LEAVING ? NotServing.MEMBER_LEAVING : NotServing.MEMBER_NOT_SERVING;
-            return new ServingLease.Refused(reason, Optional.of(said.vm().vm()));
+        if (!announcement.state().serves()) {
+            final NotServing reason = announcement.state() == EndpointState.LEAVING
+                    ? NotServing.MEMBER_LEAVING
+                    : NotServing.MEMBER_NOT_SERVING;
+            return new ServingLease.Refused(
+                    reason, Optional.of(announcement.vm().vm()));
         }
-        return new ServingLease.Serving(said.leaseDeadlineNanos(), said.state() == EndpointState.COLD);
+        return new ServingLease.Serving(announcement.leaseDeadlineNanos(), announcement.state() == EndpointState.COLD);
     }
 
     private static boolean takesNewWork(Map<AvailabilityZone, ZoneState> zones, AvailabilityZone zone) {
         return zones.getOrDefault(zone, ZoneState.IN).takesNewWork();
     }
 
-    private static Optional<NotServing> reason(
+    private static Optional<NotServing> firstReason(
             FormedGroup group, VmIncarnation member, Optional<Announcement> announcement) {
         for (final NotServing reason : NotServing.values()) {
             if (reason.applies(group, member, announcement)) {
--- a/src/main/java/org/wigeongrade/decisions/membership/package-info.java
+++ b/src/main/java/org/wigeongrade/decisions/membership/package-info.java
@@ -1,2 +1,2 @@
-/** What endpoint VMs announce, and which groups and services may serve because of it. */
+/** The announcements of endpoint VMs, and the serving leases that groups and services get from them. */
 package org.wigeongrade.decisions.membership;
--- a/src/test/java/org/wigeongrade/decisions/control/ControlStateTest.java
+++ b/src/test/java/org/wigeongrade/decisions/control/ControlStateTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void resentChangeGetsItsFirstAnswerAndTakesEffectOnce() {
+    void resentChangeGetsItsFirstResultAndTakesEffectOnce() {
         final CommandResult first = apply(change("c1", 1, Sets.with(Sets.pool(3, 2))));
         apply(change("c2", 2, Sets.with(Sets.pool(4, 2))));
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void secondOfTwoChangesToOneRevisionIsToldByWhomAndWhatChanged() {
+    void conflictingChangeIsRefusedNamingOperatorAndChangedObjects() {
         apply(change("c1", 1, Sets.with(Sets.pool(3, 2))));
 
         final CommandResult.Refused refused = refused(change("c2", 1, Sets.with(Sets.pool(5, 2))));
@@ -66,12 +66,12 @@
     }
 
     @Test
-    void changeIdOfAnotherChangeIsRefused() {
+    void reusedChangeIdIsRefused() {
         assertThat(refused(change("setup", 0, DeclaredSet.EMPTY)).kind()).isEqualTo(ErrorKind.IDEMPOTENCY_KEY_REUSED);
     }
 
     @Test
-    void setWithFaultsIsRefusedWholeWithAllOfThem() {
+    void invalidSetIsRefusedWithEveryFaultAndChangesNothing() {
         final DeclaredSet faulty = Sets.with(Sets.pool(-1, 0));
 
         final CommandResult.Refused refused = refused(change("c1", 1, faulty));
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void dissolveWithATokenOlderThanTheGroupIsRefused() {
+    void dissolveWithATokenOlderThanTheGroupsIsRefused() {
         apply(form("guide/1", "guide", GUIDE_1, ZONE_A, 1, vm("v1"), vm("v2")));
         apply(dissolve(2));
         apply(form("guide/1", "guide", GUIDE_1, ZONE_A, 3, vm("v1"), vm("v3")));
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void decisionsTellWhatWhyWhoAndWhen() {
+    void decisionsRecordWhatWhyAndWhen() {
         apply(form("guide/1", "guide", GUIDE_1, ZONE_A, 1, vm("v1"), vm("v2")));
         apply(dissolve(2));
 
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void snapshotIsTheWholeStateByteForByte() {
+    void snapshotRestoresTheWholeStateByteForByte() {
         apply(zone("z1", ZONE_B, ZoneState.OUT));
         apply(form("guide/1", "guide", GUIDE_1, ZONE_A, 1, vm("v1"), vm("v2")));
         apply(dissolve(2));
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void timeOfTheStateNeverGoesBack() {
+    void stateTimeNeverDecreases() {
         apply(new Command.ExpireRecords(5_000));
         apply(new Command.ExpireRecords(2_000));
 
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void recordsExpireWithTheTimeOfAnyCommand() {
+    void anyCommandExpiresRecordsByItsTime() {
         apply(claim("open"));
 
         apply(new Command.QuarantineRequest("digest", "crashed 2 endpoints", 9_000, 2 * ClaimTable.RETENTION_MS));
--- a/src/test/java/org/wigeongrade/decisions/log/Faults.java
+++ b/src/test/java/org/wigeongrade/decisions/log/Faults.java
@@ -1,11 +1,11 @@
 package org.wigeongrade.decisions.log;
 
 /**
- * What goes wrong in a simulated run, and which mechanisms the harness takes out to show that the checker sees it.
+ * Faults in a simulated run. Some disable a safety mechanism, to show that the checker detects the consequences.
  *
  * @param unsyncedCountsAsSynced the harness reports data as synced before it is
- * @param lostDiskKeepsIncarnation an empty disk comes back under its old incarnation
- * @param clocksJump the clocks of the other nodes jump ahead when one is cut off
+ * @param lostDiskKeepsIncarnation a node whose disk was lost restarts with an empty disk under its old incarnation
+ * @param clocksJump when a node is isolated, the clocks of the others jump ahead
  */
 record Faults(
         double lossProbability,
@@ -20,7 +20,7 @@
         return new Faults(lossProbability, duplicateProbability, true, false, false);
     }
 
-    Faults withVotesOfEmptyDisks() {
+    Faults withLostDisksKeepingIncarnation() {
         return new Faults(lossProbability, duplicateProbability, false, true, false);
     }
 
--- a/src/test/java/org/wigeongrade/decisions/log/RaftCoreProperties.java
+++ b/src/test/java/org/wigeongrade/decisions/log/RaftCoreProperties.java
@@ -11,10 +11,13 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** The log's promises under seeded random schedules; the checker is proved by taking mechanisms out. */
+/**
+ * Checks the log's invariants under seeded random schedules, and shows that the checker detects violations when a
+ * safety mechanism is disabled.
+ */
 final class RaftCoreProperties {
     private static final long FAULTY_MS = 20_000;
-    private static final long CALM_MS = 6_000;
+    private static final long FAULT_FREE_MS = 6_000;
     private static final int COMPARED_SEEDS = 60;
     private static final long REPLACE_SILENT_AFTER_NANOS = 4_000_000_000L;
 
@@ -24,7 +27,7 @@
             edgeCases = EdgeCasesMode.NONE,
             generation = GenerationMode.RANDOMIZED,
             shrinking = ShrinkingMode.OFF)
-    void threeReplicasKeepEveryPromise(@ForAll long seed) {
+    void threeReplicasAreSafeAndLive(@ForAll long seed) {
         requireSafeAndLive(3, seed);
     }
 
@@ -34,7 +37,7 @@
             edgeCases = EdgeCasesMode.NONE,
             generation = GenerationMode.RANDOMIZED,
             shrinking = ShrinkingMode.OFF)
-    void fiveReplicasKeepEveryPromise(@ForAll long seed) {
+    void fiveReplicasAreSafeAndLive(@ForAll long seed) {
         requireSafeAndLive(5, seed);
     }
 
@@ -44,13 +47,13 @@
             edgeCases = EdgeCasesMode.NONE,
             generation = GenerationMode.RANDOMIZED,
             shrinking = ShrinkingMode.OFF)
-    void fiveReplicasOfWhichThreeStartTheLogKeepEveryPromise(@ForAll long seed) {
+    void fiveReplicasOfWhichThreeBootstrapAreSafeAndLive(@ForAll long seed) {
         requireSafeAndLive(
                 new SimulatedCluster(5, 3, VoterPolicy.bearing(2, REPLACE_SILENT_AFTER_NANOS), seed, Faults.ALL), seed);
     }
 
     @Example
-    void schedulesWithEveryMechanismReachTheRarePaths() {
+    void schedulesReachSnapshotInstallsAndMembershipChanges() {
         int installs = 0;
         int membershipChanges = 0;
         for (long seed = 1; seed <= COMPARED_SEEDS; seed++) {
@@ -67,18 +70,20 @@
     }
 
     @Example
-    void unsyncedDataCountedAsSyncedShows() {
-        assertThat(violatingSeeds(Faults.ALL.withUnsyncedCountedAsSynced())).isGreaterThan(0);
+    void checkerDetectsUnsyncedDataReportedAsSynced() {
+        assertThat(countViolatingSeeds(Faults.ALL.withUnsyncedCountedAsSynced()))
+                .isGreaterThan(0);
     }
 
     @Example
-    void votesOfEmptyDisksShow() {
-        assertThat(violatingSeeds(Faults.ALL.withVotesOfEmptyDisks())).isGreaterThan(0);
+    void checkerDetectsVotesOfEmptyDisks() {
+        assertThat(countViolatingSeeds(Faults.ALL.withLostDisksKeepingIncarnation()))
+                .isGreaterThan(0);
     }
 
     @Example
-    void clockJumpsBeyondTheLeaseMarginShow() {
-        assertThat(violatingSeeds(Faults.ALL.withClockJumps())).isGreaterThan(0);
+    void checkerDetectsClockJumpsBeyondLeaseMargin() {
+        assertThat(countViolatingSeeds(Faults.ALL.withClockJumps())).isGreaterThan(0);
     }
 
     private static void requireSafeAndLive(int size, long seed) {
@@ -86,7 +91,7 @@
     }
 
     private static void requireSafeAndLive(SimulatedCluster cluster, long seed) {
-        cluster.run(FAULTY_MS, CALM_MS);
+        cluster.run(FAULTY_MS, FAULT_FREE_MS);
         assertWithMessage("violations with seed %s", seed)
                 .that(cluster.checker.violations())
                 .isEmpty();
@@ -96,15 +101,15 @@
         assertThat(cluster.committedIndex()).isGreaterThan(1);
     }
 
-    private static long violatingSeeds(Faults faults) {
+    private static long countViolatingSeeds(Faults faults) {
         long violating = LongStream.rangeClosed(1, COMPARED_SEEDS)
-                .filter(seed -> isViolated(faults, seed))
+                .filter(seed -> violatesAnInvariant(faults, seed))
                 .count();
-        System.out.println(faults + ": " + violating + " of " + COMPARED_SEEDS + " seeds violate a promise");
+        System.out.println(faults + ": " + violating + " of " + COMPARED_SEEDS + " seeds violate an invariant");
         return violating;
     }
 
-    private static boolean isViolated(Faults faults, long seed) {
+    private static boolean violatesAnInvariant(Faults faults, long seed) {
         SimulatedCluster cluster = new SimulatedCluster(3, seed, faults);
         cluster.run(FAULTY_MS, 0);
         return !cluster.checker.violations().isEmpty();
--- a/src/test/java/org/wigeongrade/decisions/log/RaftCoreTest.java
+++ b/src/test/java/org/wigeongrade/decisions/log/RaftCoreTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wigeongrade.ids.NodeName;
 
-/** Single answers of one replica that the random schedules cannot single out. */
+/** Tests single responses of one replica that the random schedules cannot isolate. */
 final class RaftCoreTest {
     private static final NodeName ONE = NodeName.of("control-1");
     private static final NodeName TWO = NodeName.of("control-2");
@@ -28,17 +28,20 @@
 
     @ParameterizedTest
     @CsvSource({
-        "incarnation asked for and silent leader,             11, 2000, false, true",
-        "another incarnation and silent leader,               12, 2000, false, false",
-        "incarnation asked for and leader heard lately,       11, 300,  false, false",
-        "incarnation asked for and leader that handed over,   11, 300,  true,  true",
-        "another incarnation and leader that handed over,     12, 300,  true,  false",
+        "requested incarnation and silent leader,             11, 2000, false, true",
+        "other incarnation and silent leader,                 12, 2000, false, false",
+        "requested incarnation and recently heard leader,     11, 300,  false, false",
+        "requested incarnation and transferred leadership,    11, 300,  true,  true",
+        "other incarnation and transferred leadership,        12, 300,  true,  false",
     })
-    void votes(String voter, long incarnation, long afterMs, boolean handedOver, boolean granted) {
+    void votes(String description, long incarnation, long afterMs, boolean leadershipTransferred, boolean granted) {
         RaftCore core = core(TWO, RecoveredState.fresh(INCARNATION, true));
-        core.receive(ONE, new LogMessage.VoteRequest(4, false, handedOver, incarnation, 5, 3), afterMs * 1_000_000);
+        core.receive(
+                ONE,
+                new LogMessage.VoteRequest(4, false, leadershipTransferred, incarnation, 5, 3),
+                afterMs * 1_000_000);
         LogMessage.VoteReply reply = (LogMessage.VoteReply) onlyMessage(core);
-        assertWithMessage(voter).that(reply.granted()).isEqualTo(granted);
+        assertWithMessage(description).that(reply.granted()).isEqualTo(granted);
         assertThat(core.term()).isEqualTo(granted ? 4 : 0);
     }
 
@@ -91,17 +94,17 @@
     }
 
     @Test
-    void anEntryDamagedOnTheWayIsNotTaken() {
+    void corruptEntryIsNotAppended() {
         List<LogEntry> entries = entries("same");
         LogEntry good = entries.get(0);
-        LogEntry damaged = new LogEntry(1, 2, good.kind(), Bytes.wrap(new byte[] {9}), good.digest());
+        LogEntry corrupt = new LogEntry(1, 2, good.kind(), Bytes.wrap(new byte[] {9}), good.digest());
         RaftCore core = core(TWO, RecoveredState.fresh(INCARNATION, true));
-        core.receive(ONE, new LogMessage.AppendRequest(2, Position.START, ImmutableList.of(damaged), 1, 0), 0);
+        core.receive(ONE, new LogMessage.AppendRequest(2, Position.START, ImmutableList.of(corrupt), 1, 0), 0);
         assertThat(core.last()).isEqualTo(Position.START);
     }
 
     @Test
-    void aLearnerNeverStandsForElection() {
+    void learnerNeverStartsAnElection() {
         RaftCore core = core(THREE, stored(entries("same")));
         core.tick(AFTER_ELECTION_TIMEOUT_NANOS);
         assertThat(core.role()).isEqualTo(Role.FOLLOWER);
@@ -120,7 +123,7 @@
     })
     void admitsInTwoChanges(int wantedVoters, String current, String caughtUp, String silent, String next) {
         Membership membership = membership(current);
-        Optional<Membership> found = ReadmissionRule.next(
+        Optional<Membership> found = PromotionRule.next(
                 membership,
                 membership(caughtUp).incarnations().entrySet().stream()
                         .map(voter -> new Member(voter.getKey(), voter.getValue()))
@@ -168,7 +171,7 @@
     }
 
     private static LogMessage onlyMessage(RaftCore core) {
-        List<Outputs.Outgoing> sent = core.drain(0).afterPersist();
+        List<Outputs.OutgoingMessage> sent = core.drain(0).afterPersist();
         assertThat(sent).hasSize(1);
         return sent.get(0).message();
     }
--- a/src/test/java/org/wigeongrade/decisions/log/SafetyChecker.java
+++ b/src/test/java/org/wigeongrade/decisions/log/SafetyChecker.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.wigeongrade.ids.NodeName;
 
-/** Collects every violation of the log's promises over one simulated run. Not thread safe. */
+/** Collects every violation of the log's invariants in one simulated run. Not thread safe. */
 final class SafetyChecker {
     private record EntryKey(long index, long term) {}
 
@@ -40,17 +40,17 @@
         return committedMembership;
     }
 
-    /** Election safety, and leader completeness for the entries of earlier terms. */
-    void leads(NodeName node, RaftCore core) {
+    /** Checks election safety, and leader completeness for the entries of earlier terms. */
+    void onLeader(NodeName node, RaftCore core) {
         NodeName other = leaders.putIfAbsent(core.term(), node);
         if (other == null) {
-            holdsCommitted(node, core);
+            checkHoldsCommitted(node, core);
         } else if (!other.equals(node)) {
             violations.add("term " + core.term() + " has two leaders, " + other + " and " + node);
         }
     }
 
-    private void holdsCommitted(NodeName node, RaftCore core) {
+    private void checkHoldsCommitted(NodeName node, RaftCore core) {
         committed.tailMap(core.base().index(), false).forEach((index, position) -> {
             boolean held = core.entry(index)
                     .map(LogEntry::position)
@@ -62,19 +62,19 @@
         });
     }
 
-    /** Log matching: an index and a term name one history. */
-    void writes(NodeName node, LogEntry entry) {
+    /** Checks log matching: entries with equal index and term have equal digests, so the logs are equal up to them. */
+    void onWrite(NodeName node, LogEntry entry) {
         Digest other = written.putIfAbsent(new EntryKey(entry.index(), entry.term()), entry.digest());
         if (other != null && !other.equals(entry.digest())) {
             violations.add("entry " + entry.index() + " of term " + entry.term() + " differs on " + node);
         }
     }
 
-    /** State machine safety: every replica applies the same entry at an index. */
-    void applies(NodeName node, LogEntry entry) {
+    /** Checks state machine safety: all replicas apply the same entry at an index. */
+    void onApply(NodeName node, LogEntry entry) {
         Position other = committed.putIfAbsent(entry.index(), entry.position());
         if (other != null && !other.equals(entry.position())) {
-            violations.add("node " + node + " applies another entry at index " + entry.index());
+            violations.add("node " + node + " applies a different entry at index " + entry.index());
         }
         if (entry.kind() == EntryKind.MEMBERSHIP && entry.index() > committedMembershipIndex) {
             membershipChanges++;
@@ -83,7 +83,7 @@
         }
     }
 
-    /** A snapshot stands for the committed entry at its position. */
+    /** Checks that a snapshot is installed at the position of a committed entry. */
     void installs(NodeName node, Position position) {
         installs++;
         Position other = committed.get(position.index());
@@ -92,15 +92,15 @@
         }
     }
 
-    void hasGap(NodeName node) {
-        violations.add("disk of node " + node + " misses entries before the ones it stores");
+    void onGap(NodeName node) {
+        violations.add("disk of node " + node + " has a gap before the entries to store");
     }
 
-    void halts(NodeName node, HaltReason reason) {
+    void onHalt(NodeName node, HaltReason reason) {
         violations.add("node " + node + " halts: " + reason);
     }
 
-    void holdLeases(List<NodeName> holders) {
+    void onLeaseHolders(List<NodeName> holders) {
         if (holders.size() > 1) {
             violations.add("leases overlap: " + holders);
         }
--- a/src/test/java/org/wigeongrade/decisions/log/SimulatedCluster.java
+++ b/src/test/java/org/wigeongrade/decisions/log/SimulatedCluster.java
@@ -17,8 +17,8 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Replicas under a seeded random schedule in virtual time: messages get lost, reordered and repeated; links are cut;
- * nodes crash, freeze and lose their disks.
+ * Runs replicas under a seeded random schedule in virtual time: messages are lost, reordered and duplicated; links are
+ * cut; nodes crash, freeze and lose their disks.
  *
  * <p>Invariant: a disk is lost only while every node is a committed voter under its current incarnation, so a quorum of
  * disks survives. Not thread safe.
@@ -52,14 +52,14 @@
     private long trueNanos;
     private long sequence;
     private long nextIncarnation = 1;
-    private boolean calm;
+    private boolean faultFree;
 
     SimulatedCluster(int size, long seed, Faults faults) {
         this(size, size, VoterPolicy.ALL_CONFIGURED, seed, faults);
     }
 
-    /** Makes a cluster that the first {@code bootstrapping} nodes start and that the others find. */
-    SimulatedCluster(int size, int bootstrapping, VoterPolicy policy, long seed, Faults faults) {
+    /** Creates a cluster that the first {@code bootstrapVoters} nodes bootstrap and that the others discover. */
+    SimulatedCluster(int size, int bootstrapVoters, VoterPolicy policy, long seed, Faults faults) {
         this.random = new Random(seed);
         this.faults = faults;
         ImmutableList.Builder<NodeName> names = ImmutableList.builder();
@@ -68,7 +68,7 @@
         }
         ImmutableSortedSet<NodeName> voters = ImmutableSortedSet.copyOf(names.build());
         ImmutableSortedSet<NodeName> first =
-                voters.stream().limit(bootstrapping).collect(ImmutableSortedSet.toImmutableSortedSet(naturalOrder()));
+                voters.stream().limit(bootstrapVoters).collect(ImmutableSortedSet.toImmutableSortedSet(naturalOrder()));
         settings = voters.stream()
                 .map(name ->
                         new CoreSettings(name, first.contains(name) ? first : ImmutableSortedSet.of(), policy, TIMINGS))
@@ -78,21 +78,24 @@
             nodes.add(new SimulatedNode(name, disk, random));
         }
         nodes.forEach(this::boot);
-        at(PROPOSE_EVERY_NANOS, this::propose);
-        at(ms(3_000), this::fault);
+        schedule(PROPOSE_EVERY_NANOS, this::propose);
+        schedule(ms(3_000), this::injectFault);
     }
 
-    /** Runs under faults, then heals everything and runs on without. */
-    void run(long faultyMs, long calmMs) {
+    /** Runs with faults, then heals all links and nodes and continues without faults. */
+    void run(long faultyMs, long faultFreeMs) {
         runUntil(trueNanos + ms(faultyMs));
-        calm = true;
+        faultFree = true;
         cutLinks.clear();
         faults = Faults.NONE;
         nodes.stream().filter(node -> node.core.isEmpty()).forEach(this::boot);
-        runUntil(trueNanos + ms(calmMs));
+        runUntil(trueNanos + ms(faultFreeMs));
     }
 
-    /** Returns whether one leader holds a lease, all nodes vote and all applied about the same. */
+    /**
+     * Returns whether exactly one leader holds a lease, all nodes are voters, and each has applied all but a few of the
+     * committed entries.
+     */
     boolean hasConverged() {
         boolean allVote =
                 nodes.stream().allMatch(node -> node.core.map(RaftCore::isVoter).orElse(false));
@@ -113,7 +116,7 @@
             Event event = events.poll();
             trueNanos = event.trueNanos();
             event.action().run();
-            checker.holdLeases(leaseHolders());
+            checker.onLeaseHolders(leaseHolders());
         }
         trueNanos = endNanos;
     }
@@ -128,103 +131,105 @@
     private void boot(SimulatedNode node) {
         node.boot(settings[nodes.indexOf(node)], random, trueNanos);
         nodes.forEach(peer -> node.core.orElseThrow().discover(peer.name));
-        tick(node, node.start);
+        tick(node, node.bootEpoch);
     }
 
-    private void tick(SimulatedNode node, int start) {
-        whenAwake(node, start, () -> {
+    private void tick(SimulatedNode node, int bootEpoch) {
+        runWhenAwake(node, bootEpoch, () -> {
             node.core.orElseThrow().tick(node.clockNanos(trueNanos));
-            work(node);
-            at(TICK_NANOS, () -> tick(node, start));
+            processOutputs(node);
+            schedule(TICK_NANOS, () -> tick(node, bootEpoch));
         });
     }
 
     private void propose() {
         SimulatedNode node = anyNode();
-        whenAwake(node, node.start, () -> {
+        runWhenAwake(node, node.bootEpoch, () -> {
             byte[] command = Long.toString(sequence).getBytes(StandardCharsets.US_ASCII);
             node.core.orElseThrow().propose(Bytes.wrap(command));
-            work(node);
+            processOutputs(node);
         });
-        at(PROPOSE_EVERY_NANOS, this::propose);
+        schedule(PROPOSE_EVERY_NANOS, this::propose);
     }
 
-    /** Runs an input of a node, after its freeze if it is frozen, never if it has crashed since. */
-    private void whenAwake(SimulatedNode node, int start, Runnable input) {
-        if (node.start != start || node.core.isEmpty()) {
+    /** Runs an input of a node once the node is not frozen; drops it if the node has crashed since. */
+    private void runWhenAwake(SimulatedNode node, int bootEpoch, Runnable input) {
+        if (node.bootEpoch != bootEpoch || node.core.isEmpty()) {
             return;
         }
         if (node.frozenUntilNanos > trueNanos) {
-            at(node.frozenUntilNanos - trueNanos, () -> whenAwake(node, start, input));
+            schedule(node.frozenUntilNanos - trueNanos, () -> runWhenAwake(node, bootEpoch, input));
             return;
         }
         input.run();
     }
 
-    private void work(SimulatedNode node) {
+    private void processOutputs(SimulatedNode node) {
         RaftCore core = node.core.orElseThrow();
         Outputs outputs = core.drain(node.clockNanos(trueNanos));
         while (!outputs.isEmpty()) {
-            check(node, outputs);
+            checkOutputs(node, outputs);
             execute(node, outputs);
             outputs = core.drain(node.clockNanos(trueNanos));
         }
         if (core.role() == Role.LEADER) {
-            checker.leads(node.name, core);
+            checker.onLeader(node.name, core);
         }
         boolean due = core.appliedIndex() - core.snapshotIndex() >= COMPACT_AFTER_ENTRIES;
-        if (due && node.openStores == 0) {
+        if (due && node.pendingStores == 0) {
             Snapshot taken = core.compact(Bytes.wrap(new byte[300]), KEPT_ENTRIES);
             node.disk.compact(taken, core.base(), core.entriesFromBase());
         }
     }
 
-    private void check(SimulatedNode node, Outputs outputs) {
-        outputs.halt().ifPresent(reason -> checker.halts(node.name, reason));
+    private void checkOutputs(SimulatedNode node, Outputs outputs) {
+        outputs.halt().ifPresent(reason -> checker.onHalt(node.name, reason));
         outputs.installed().ifPresent(snapshot -> checker.installs(node.name, snapshot.position()));
-        outputs.entries().forEach(entry -> checker.writes(node.name, entry));
-        outputs.committed().forEach(entry -> checker.applies(node.name, entry));
+        outputs.entries().forEach(entry -> checker.onWrite(node.name, entry));
+        outputs.committed().forEach(entry -> checker.onApply(node.name, entry));
     }
 
     private void execute(SimulatedNode node, Outputs outputs) {
-        int start = node.start;
+        int bootEpoch = node.bootEpoch;
         boolean stores = outputs.hardState().isPresent()
                 || outputs.installed().isPresent()
                 || !outputs.entries().isEmpty();
-        boolean waits = outputs.hardState().isPresent() || node.openHardStates > 0;
-        if (!waits) {
+        boolean waitsForHardState = outputs.hardState().isPresent() || node.pendingHardStates > 0;
+        if (!waitsForHardState) {
             send(node, outputs.immediate());
         }
-        node.openStores++;
-        node.openHardStates += outputs.hardState().isPresent() ? 1 : 0;
+        node.pendingStores++;
+        node.pendingHardStates += outputs.hardState().isPresent() ? 1 : 0;
         long delayNanos = stores ? random.nextLong(maxStoreDelayNanos()) : 0;
         node.storesDoneNanos = Math.max(node.storesDoneNanos, trueNanos + delayNanos);
         if (faults.unsyncedCountsAsSynced()) {
-            confirm(node, outputs);
+            reportPersisted(node, outputs);
         }
-        at(node.storesDoneNanos - trueNanos, () -> whenAwake(node, start, () -> stored(node, outputs, waits)));
+        schedule(
+                node.storesDoneNanos - trueNanos,
+                () -> runWhenAwake(node, bootEpoch, () -> onStored(node, outputs, waitsForHardState)));
     }
 
     private long maxStoreDelayNanos() {
         return faults.unsyncedCountsAsSynced() ? MAX_WRITE_BACK_NANOS : MAX_STORE_DELAY_NANOS;
     }
 
-    private void stored(SimulatedNode node, Outputs outputs, boolean waited) {
-        node.openStores--;
-        node.openHardStates -= outputs.hardState().isPresent() ? 1 : 0;
+    private void onStored(SimulatedNode node, Outputs outputs, boolean waitedForHardState) {
+        node.pendingStores--;
+        node.pendingHardStates -= outputs.hardState().isPresent() ? 1 : 0;
         if (!node.disk.store(outputs)) {
-            checker.hasGap(node.name);
+            checker.onGap(node.name);
         }
-        if (waited) {
+        if (waitedForHardState) {
             send(node, outputs.immediate());
         }
         if (!faults.unsyncedCountsAsSynced()) {
-            confirm(node, outputs);
-            work(node);
+            reportPersisted(node, outputs);
+            processOutputs(node);
         }
     }
 
-    private void confirm(SimulatedNode node, Outputs outputs) {
+    private void reportPersisted(SimulatedNode node, Outputs outputs) {
         send(node, outputs.afterPersist());
         if (!outputs.entries().isEmpty()) {
             LogEntry last = outputs.entries().get(outputs.entries().size() - 1);
@@ -232,8 +237,8 @@
         }
     }
 
-    private void send(SimulatedNode from, List<Outputs.Outgoing> messages) {
-        for (Outputs.Outgoing outgoing : messages) {
+    private void send(SimulatedNode from, List<Outputs.OutgoingMessage> messages) {
+        for (Outputs.OutgoingMessage outgoing : messages) {
             deliverLater(from.name, outgoing);
             if (random.nextDouble() < faults.duplicateProbability()) {
                 deliverLater(from.name, outgoing);
@@ -241,23 +246,23 @@
         }
     }
 
-    private void deliverLater(NodeName from, Outputs.Outgoing outgoing) {
+    private void deliverLater(NodeName from, Outputs.OutgoingMessage outgoing) {
         if (random.nextDouble() < faults.lossProbability()) {
             return;
         }
-        at(random.nextLong(MAX_MESSAGE_DELAY_NANOS), () -> {
+        schedule(random.nextLong(MAX_MESSAGE_DELAY_NANOS), () -> {
             SimulatedNode to = node(outgoing.to());
             if (!cutLinks.contains(new Link(from, to.name))) {
-                whenAwake(to, to.start, () -> {
+                runWhenAwake(to, to.bootEpoch, () -> {
                     to.core.orElseThrow().receive(from, outgoing.message(), to.clockNanos(trueNanos));
-                    work(to);
+                    processOutputs(to);
                 });
             }
         });
     }
 
-    private void fault() {
-        if (calm) {
+    private void injectFault() {
+        if (faultFree) {
             return;
         }
         SimulatedNode node = anyNode();
@@ -268,26 +273,26 @@
             case 3 -> cutLinks.clear();
             case 4 -> cutLinks.add(new Link(node.name, anyNode().name));
             case 5 -> nodes.forEach(this::crash);
-            case 6 -> handOver();
+            case 6 -> transferLeadership();
             default -> isolate(node);
         }
-        at(random.nextLong(2 * FAULT_EVERY_NANOS), this::fault);
+        schedule(random.nextLong(2 * FAULT_EVERY_NANOS), this::injectFault);
     }
 
     private void crash(SimulatedNode node) {
         node.crash();
-        at(random.nextLong(MAX_DOWN_NANOS), () -> {
+        schedule(random.nextLong(MAX_DOWN_NANOS), () -> {
             if (node.core.isEmpty()) {
                 boot(node);
             }
         });
     }
 
-    private void handOver() {
+    private void transferLeadership() {
         for (SimulatedNode node : nodes) {
-            whenAwake(node, node.start, () -> {
+            runWhenAwake(node, node.bootEpoch, () -> {
                 node.core.orElseThrow().handOver(node.clockNanos(trueNanos));
-                work(node);
+                processOutputs(node);
             });
         }
     }
@@ -329,7 +334,7 @@
         return found.orElseThrow();
     }
 
-    private void at(long delayNanos, Runnable action) {
+    private void schedule(long delayNanos, Runnable action) {
         events.add(new Event(trueNanos + delayNanos, sequence++, action));
     }
 
--- a/src/test/java/org/wigeongrade/decisions/log/SimulatedDisk.java
+++ b/src/test/java/org/wigeongrade/decisions/log/SimulatedDisk.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What one simulated data folder holds for sure. Not thread safe. */
+/** Durable content of one simulated data folder. Not thread safe. */
 final class SimulatedDisk {
     final long incarnation;
     private HardState hardState = HardState.INITIAL;
@@ -17,7 +17,7 @@
         this.incarnation = incarnation;
     }
 
-    /** Stores what the core asked for; returns false if an entry does not join what is stored. */
+    /** Stores the outputs of a replica; returns false if an entry would leave a gap after the stored ones. */
     boolean store(Outputs outputs) {
         outputs.hardState().ifPresent(state -> hardState = state);
         outputs.installed().ifPresent(installed -> compact(installed, installed.position(), ImmutableList.of()));
--- a/src/test/java/org/wigeongrade/decisions/log/SimulatedNode.java
+++ b/src/test/java/org/wigeongrade/decisions/log/SimulatedNode.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 import org.wigeongrade.ids.NodeName;
 
-/** One replica of a simulated cluster with its disk and its own clock. Not thread safe. */
+/** Replica of a simulated cluster, with its own disk and clock. Not thread safe. */
 final class SimulatedNode {
     private static final double CLOCK_RATE_SPREAD = 0.02;
 
@@ -13,13 +13,13 @@
     long clockOffsetNanos;
     SimulatedDisk disk;
     Optional<RaftCore> core = Optional.empty();
-    /** Counts starts, so that what belongs to an earlier start is dropped. */
-    int start;
+    /** Increases at each boot and crash, so that events of an earlier boot can be recognised and dropped. */
+    int bootEpoch;
 
     long frozenUntilNanos;
     long storesDoneNanos;
-    int openStores;
-    int openHardStates;
+    int pendingStores;
+    int pendingHardStates;
 
     SimulatedNode(NodeName name, SimulatedDisk disk, Random random) {
         this.name = name;
@@ -28,28 +28,28 @@
         this.clockOffsetNanos = random.nextInt(1_000_000_000);
     }
 
-    /** Returns what this node's monotonic clock shows at a true time. */
+    /** Returns the reading of this node's monotonic clock at a point of simulated true time. */
     long clockNanos(long trueNanos) {
         return clockOffsetNanos + (long) (trueNanos * clockRate);
     }
 
     void boot(CoreSettings settings, Random random, long trueNanos) {
-        start++;
-        openStores = 0;
-        openHardStates = 0;
+        bootEpoch++;
+        pendingStores = 0;
+        pendingHardStates = 0;
         storesDoneNanos = trueNanos;
         frozenUntilNanos = trueNanos;
         core = Optional.of(new RaftCore(settings, disk.recovered(), random, clockNanos(trueNanos)));
     }
 
     void crash() {
-        start++;
+        bootEpoch++;
         core = Optional.empty();
     }
 
     boolean holdsLease(long trueNanos) {
-        long ownNanos = clockNanos(trueNanos);
+        long localNanos = clockNanos(trueNanos);
         return core.isPresent()
-                && core.get().leaseDeadlineNanos(ownNanos).stream().anyMatch(deadline -> ownNanos - deadline < 0);
+                && core.get().leaseDeadlineNanos(localNanos).stream().anyMatch(deadline -> localNanos - deadline < 0);
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/membership/ServingLeasesTest.java
+++ b/src/test/java/org/wigeongrade/decisions/membership/ServingLeasesTest.java
@@ -38,26 +38,32 @@
 
     private final AnnouncementTable table = new AnnouncementTable();
 
-    /** What the second member announces, and why the group may not serve. */
+    /** Returns the reason why the group may not serve, with the second member's announcement that causes it. */
     static Stream<Arguments> secondMembers() {
         return Stream.of(
-                Arguments.of("member_restarted", said(2, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 200)),
-                Arguments.of("member_missing", said(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 100)),
+                Arguments.of(
+                        "member_restarted", secondMember(2, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 200)),
+                Arguments.of("member_missing", secondMember(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 100)),
                 Arguments.of(
                         "order_not_followed",
-                        said(1, 1, new FencingToken(2, 4), "guide/1", GUIDE_1, EndpointState.WARM, 200)),
-                Arguments.of("order_not_followed", said(1, 1, TOKEN, "guide/2", GUIDE_1, EndpointState.WARM, 200)),
-                Arguments.of("order_not_followed", said(1, 1, TOKEN, null, GUIDE_1, EndpointState.IDLE, 200)),
-                Arguments.of("member_loading", said(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.LOADING, 200)),
-                Arguments.of("member_leaving", said(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.LEAVING, 200)),
-                Arguments.of("member_not_serving", said(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.IDLE, 200)),
-                Arguments.of("wrong_model_version", said(1, 1, TOKEN, "guide/1", GUIDE_2, EndpointState.WARM, 200)));
+                        secondMember(1, 1, new FencingToken(2, 4), "guide/1", GUIDE_1, EndpointState.WARM, 200)),
+                Arguments.of(
+                        "order_not_followed", secondMember(1, 1, TOKEN, "guide/2", GUIDE_1, EndpointState.WARM, 200)),
+                Arguments.of("order_not_followed", secondMember(1, 1, TOKEN, null, GUIDE_1, EndpointState.IDLE, 200)),
+                Arguments.of(
+                        "member_loading", secondMember(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.LOADING, 200)),
+                Arguments.of(
+                        "member_leaving", secondMember(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.LEAVING, 200)),
+                Arguments.of(
+                        "member_not_serving", secondMember(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.IDLE, 200)),
+                Arguments.of(
+                        "wrong_model_version", secondMember(1, 1, TOKEN, "guide/1", GUIDE_2, EndpointState.WARM, 200)));
     }
 
     @ParameterizedTest
     @MethodSource("secondMembers")
-    void groupWithSuchAMemberMayNotServe(String reason, Announcement second) {
-        table.record(first(500));
+    void groupMayNotServeBecauseOfSecondMember(String reason, Announcement second) {
+        table.record(firstMember(500));
         table.record(second);
 
         final ServingLease lease = ServingLeases.of(GROUP, Map.of(), table, 100);
@@ -67,9 +73,9 @@
     }
 
     @Test
-    void leaseEndsWithTheEarliestOfTheMembers() {
-        table.record(first(500));
-        table.record(said(1, 1, new FencingToken(3, 1), "guide/1", GUIDE_1, EndpointState.COLD, 200));
+    void leaseEndsWithTheEarliestMemberLease() {
+        table.record(firstMember(500));
+        table.record(secondMember(1, 1, new FencingToken(3, 1), "guide/1", GUIDE_1, EndpointState.COLD, 200));
 
         assertThat(ServingLeases.of(GROUP, Map.of(), table, 100)).isEqualTo(new ServingLease.Serving(200, true));
         assertThat(ServingLeases.servingDeadlineNanos(GROUP, Map.of(), table, 200))
@@ -78,15 +84,17 @@
 
     @Test
     void groupInAZoneThatIsOutMayNotServe() {
-        table.record(first(500));
-        table.record(said(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 200));
+        table.record(firstMember(500));
+        table.record(secondMember(1, 1, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 200));
 
         final ServingLease lease = ServingLeases.of(GROUP, Map.of(ZONE_A, ZoneState.OUT), table, 100);
 
         assertThat(((ServingLease.Refused) lease).reason()).isEqualTo(NotServing.ZONE_OUT);
     }
 
-    /** Announcements that must not replace one of incarnation 2 with sequence 5. */
+    /**
+     * Returns incarnations and sequences of announcements that must not replace one of incarnation 2 with sequence 5.
+     */
     static Stream<Arguments> late() {
         return Stream.of(Arguments.of(1, 9), Arguments.of(2, 4), Arguments.of(2, 5));
     }
@@ -94,9 +102,10 @@
     @ParameterizedTest
     @MethodSource("late")
     void lateAnnouncementIsIgnored(long incarnation, long sequence) {
-        table.record(said(2, 5, TOKEN, "guide/1", GUIDE_1, EndpointState.LEAVING, 200));
+        table.record(secondMember(2, 5, TOKEN, "guide/1", GUIDE_1, EndpointState.LEAVING, 200));
 
-        assertThat(table.record(said(incarnation, sequence, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 900)))
+        assertThat(table.record(
+                        secondMember(incarnation, sequence, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 900)))
                 .isFalse();
         assertThat(table.live(VmName.of("v2"), 100).orElseThrow().state()).isEqualTo(EndpointState.LEAVING);
         assertThat(table.live(VmName.of("v2"), 200)).isEmpty();
@@ -104,20 +113,20 @@
 
     @Test
     void expiredAnnouncementStillHidesOlderOnesUntilItIsRemoved() {
-        table.record(said(2, 5, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 200));
+        table.record(secondMember(2, 5, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 200));
 
         table.expire(200 + AnnouncementTable.KEEP_EXPIRED_NANOS);
-        assertThat(table.record(said(1, 9, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 900)))
+        assertThat(table.record(secondMember(1, 9, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 900)))
                 .isFalse();
         table.expire(201 + AnnouncementTable.KEEP_EXPIRED_NANOS);
-        assertThat(table.record(said(1, 9, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 900)))
+        assertThat(table.record(secondMember(1, 9, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, 900)))
                 .isTrue();
     }
 
     @Test
-    void plainServiceServesAloneUnlessItLeaves() {
-        final Announcement warm = said(1, 1, TOKEN, null, null, EndpointState.WARM, 200);
-        final Announcement leaving = said(1, 2, TOKEN, null, null, EndpointState.LEAVING, 200);
+    void plainServiceServesAloneUnlessLeavingOrInAZoneThatIsOut() {
+        final Announcement warm = secondMember(1, 1, TOKEN, null, null, EndpointState.WARM, 200);
+        final Announcement leaving = secondMember(1, 2, TOKEN, null, null, EndpointState.LEAVING, 200);
 
         assertThat(ServingLeases.ofService(warm, Map.of()).deadlineNanos()).hasValue(200);
         assertThat(ServingLeases.ofService(leaving, Map.of()).deadlineNanos()).isEmpty();
@@ -129,11 +138,11 @@
         return new VmIncarnation(VmName.of(name), incarnation);
     }
 
-    private static Announcement first(long leaseDeadlineNanos) {
+    private static Announcement firstMember(long leaseDeadlineNanos) {
         return announcement(vm("v1", 1), 1, TOKEN, "guide/1", GUIDE_1, EndpointState.WARM, leaseDeadlineNanos);
     }
 
-    private static Announcement said(
+    private static Announcement secondMember(
             long incarnation,
             long sequence,
             FencingToken token,
