--- a/src/main/java/org/wigeongrade/fleet/control/ControlNode.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlNode.java
@@ -40,22 +40,25 @@
 import org.wigeongrade.settings.FleetSettings;
 import org.wigeongrade.settings.NodeAddress;
 
-/** A process of the control role. Thread safe; the lock of {@code exchanges} is taken last. */
+/** A control node process. Thread safe; the lock on {@code exchanges} is always acquired last. */
 public final class ControlNode implements AutoCloseable {
-    /** Threads for calls of other nodes; each call takes some milliseconds. */
+    /** Threads that serve calls from other nodes; each call takes a few milliseconds. */
     private static final int WORKER_THREADS = 4;
-    /** Largest configuration that is taken, in bytes: what one command of the log carries, less its JSON form. */
+    /** Largest accepted configuration, in bytes: what one command of the log carries, less its JSON form. */
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
 
     private static final int MAX_HEADER_BYTES = 16 * 1024;
-    /** Heartbeat 120 ms, election 600 to 1,100 ms, lease 500 ms: a restart of every control VM costs callers this wait. */
+    /**
+     * Heartbeat interval 120 ms, election timeout 600 to 1,100 ms, lease 500 ms. Callers wait this long when all control
+     * VMs restart.
+     */
     private static final LogTimings LOG_TIMINGS = LogTimings.ofMs(120, 600, 1_100, 500);
-    /** A voter that is silent for longer than any restart gives way to a VM that took its place. */
-    private static final long REPLACE_SILENT_NANOS = TimeUnit.SECONDS.toNanos(3);
-    /** A fleet that has fewer control VMs than it needs accepts changes after this time all the same. */
-    private static final long FEW_CONTROL_VMS_NANOS = TimeUnit.SECONDS.toNanos(12);
+    /** Silence after which a replacement VM takes over a voter's seat; longer than any restart. */
+    private static final long REPLACE_SILENT_VOTER_AFTER_NANOS = TimeUnit.SECONDS.toNanos(3);
+    /** Time after which changes are accepted even if the fleet has fewer control VMs than it needs. */
+    private static final long UNDERSIZED_FLEET_WAIT_NANOS = TimeUnit.SECONDS.toNanos(12);
 
-    private static final int HALT_STATUS = 70;
+    private static final int DISK_FAILURE_EXIT_STATUS = 70;
 
     private final FleetSettings settings;
     private final EventLog events;
@@ -64,14 +67,14 @@
     private final NodeName self;
     private final ControlDirectory directory;
     private final VmRegistry registry = new VmRegistry();
-    private final RelayQueue relay = new RelayQueue();
+    private final HeartbeatRelay heartbeatRelay = new HeartbeatRelay();
     private final PublishedStateMachine machine = new PublishedStateMachine();
     private final EventLoop loop = new EventLoop();
     private final Map<String, PeerExchange> exchanges = new HashMap<>();
     private final long startedNanos = System.nanoTime();
     private final RaftReplicatedLog log;
     private final LeaderLoop leaderLoop;
-    private final ControlDesk desk;
+    private final ControlRequestHandler requestHandler;
     private final NodeServer nodeServer;
     private final AtomicBoolean stopRequested = new AtomicBoolean();
     private final CountDownLatch stopped = new CountDownLatch(1);
@@ -102,43 +105,43 @@
                 timings,
                 events,
                 clock);
-        this.desk = new ControlDesk(
+        this.requestHandler = new ControlRequestHandler(
                 self,
                 log,
                 machine,
                 registry,
                 directory,
                 reader,
-                relay,
+                heartbeatRelay,
                 leaderLoop::wake,
-                this::votersNeeded,
+                this::requiredVoters,
                 events,
                 clock);
         final ControlService service = new ControlService(
-                log, machine, registry, directory, leaderLoop::current, this::learn, leaderLoop::wake, clock);
+                log, machine, registry, directory, leaderLoop::currentTerm, this::addControlVms, leaderLoop::wake, clock);
         this.nodeServer = new NodeServer(
                 new InetSocketAddress(settings.bindIp(), settings.fleetPort()),
                 new FleetService.Processor<>(service),
                 WORKER_THREADS);
     }
 
-    /** Begins to serve; {@code api} makes the answers to endpoint VMs and operators from the desk. */
-    public void start(Function<ControlDesk, Function<CallServer.Call, CompletableFuture<HttpReply>>> api) {
+    /** Starts to serve; {@code apiFactory} creates the HTTP API for endpoint VMs and operators. */
+    public void start(Function<ControlRequestHandler, Function<CallServer.Call, CompletableFuture<HttpReply>>> apiFactory) {
         nodeServer.start();
         directory.known().forEach(this::addPeer);
-        learn(List.of(settings.ip()));
+        addControlVms(List.of(settings.ip()));
         leaderLoop.start();
-        final Function<CallServer.Call, CompletableFuture<HttpReply>> answers = api.apply(desk);
+        final Function<CallServer.Call, CompletableFuture<HttpReply>> httpHandler = apiFactory.apply(requestHandler);
         listener = HttpListener.open(
                 loop,
                 settings.controlListen().orElseThrow().toSocketAddress(),
                 MAX_HEADER_BYTES,
-                pipeline -> addHandlers(pipeline, answers));
+                pipeline -> addHandlers(pipeline, httpHandler));
         MetricsListener.open(loop, new InetSocketAddress(settings.bindIp(), settings.metricsPort()), metrics);
         events.write(LogEvent.NODE_STARTED, settings.name(), settings.availabilityZone(), listenText());
     }
 
-    /** Begins to stop and returns at once. */
+    /** Initiates a graceful stop and returns immediately. */
     public void stop() {
         if (stopRequested.compareAndSet(false, true)) {
             new Thread(this::close, "stop").start();
@@ -150,9 +153,9 @@
         stopped.await();
     }
 
-    /** Takes up seeds that the settings name now. */
-    public void reload(FleetSettings changed) {
-        learn(changed.seeds().stream().map(NodeAddress::ip).toList());
+    /** Adds the seeds of reloaded settings to the known control VMs. */
+    public void reload(FleetSettings newSettings) {
+        addControlVms(newSettings.seeds().stream().map(NodeAddress::ip).toList());
     }
 
     private String listenText() {
@@ -160,45 +163,48 @@
     }
 
     private static void addHandlers(
-            ChannelPipeline pipeline, Function<CallServer.Call, CompletableFuture<HttpReply>> answers) {
-        pipeline.addLast(new HttpObjectAggregator(MAX_BODY_BYTES)).addLast(new CallServer(answers));
+            ChannelPipeline pipeline, Function<CallServer.Call, CompletableFuture<HttpReply>> httpHandler) {
+        pipeline.addLast(new HttpObjectAggregator(MAX_BODY_BYTES)).addLast(new CallServer(httpHandler));
     }
 
     private RaftReplicatedLog openLog() {
-        final ImmutableSortedSet<NodeName> starters = settings.bootstrap()
+        final ImmutableSortedSet<NodeName> initialVoters = settings.bootstrap()
                 ? settings.seeds().stream()
                         .map(seed -> NodeName.of(seed.ip()))
                         .collect(ImmutableSortedSet.toImmutableSortedSet(NodeName::compareTo))
                 : ImmutableSortedSet.of();
         final CoreSettings core =
-                new CoreSettings(self, starters, VoterPolicy.bearing(lossesBorne(), REPLACE_SILENT_NANOS), LOG_TIMINGS);
+                new CoreSettings(self, initialVoters, VoterPolicy.bearing(toleratedLosses(), REPLACE_SILENT_VOTER_AFTER_NANOS), LOG_TIMINGS);
         final LogSettings logSettings = new LogSettings(
                 core,
                 settings.dataFolder().orElseThrow(),
                 new InetSocketAddress(settings.bindIp(), settings.logPort()),
                 directory,
                 LogSettings.DEFAULT_COMPACT_AFTER_ENTRIES);
-        return RaftReplicatedLog.open(logSettings, new ReplicatedPublishedState(machine), clock, this::logFailed);
+        return RaftReplicatedLog.open(logSettings, new ReplicatedPublishedState(machine), clock, this::haltOnLogFailure);
     }
 
-    private int lossesBorne() {
+    private int toleratedLosses() {
         return (int) settings.number(FleetKey.LOSSES_BORNE);
     }
 
-    /** A change is accepted once so many vote that a quorum of disks outlives the losses that must be borne. */
-    private int votersNeeded() {
-        final int wanted = 2 * lossesBorne() + 1;
+    /**
+     * Returns the number of voters without which no change is accepted. With this many, a quorum of disks survives the
+     * number of losses that the fleet must tolerate.
+     */
+    private int requiredVoters() {
+        final int required = 2 * toleratedLosses() + 1;
         final int known = directory.known().size();
-        final boolean few = known < wanted && System.nanoTime() - startedNanos > FEW_CONTROL_VMS_NANOS;
-        return few ? Math.min(known, lossesBorne() + 1) : wanted;
+        final boolean undersized = known < required && System.nanoTime() - startedNanos > UNDERSIZED_FLEET_WAIT_NANOS;
+        return undersized ? Math.min(known, toleratedLosses() + 1) : required;
     }
 
-    private void logFailed(RuntimeException failure) {
+    private void haltOnLogFailure(RuntimeException failure) {
         events.writeFault(LogEvent.DISK_FAILED, failure, settings.dataFolder().orElseThrow(), failure.getMessage());
-        Runtime.getRuntime().halt(HALT_STATUS);
+        Runtime.getRuntime().halt(DISK_FAILURE_EXIT_STATUS);
     }
 
-    private void learn(List<String> ips) {
+    private void addControlVms(List<String> ips) {
         final ImmutableSet<String> added = directory.learn(ips);
         added.forEach(ip ->
                 events.write(LogEvent.CONTROL_VM_FOUND, ip, directory.known().size()));
@@ -222,15 +228,15 @@
                 directory,
                 registry,
                 () -> log.leader().filter(leader -> leader.value().equals(ip)).isPresent(),
-                this::learn,
+                this::addControlVms,
                 events,
                 clock);
-        relay.addTaker(exchange::add);
+        heartbeatRelay.addListener(exchange::enqueue);
         exchange.start();
         return exchange;
     }
 
-    /** Hands the lead over, then ends; changes that were accepted lie on other disks, too. */
+    /** Transfers leadership, then stops; accepted changes are already on other disks as well. */
     @Override
     public void close() {
         events.write(LogEvent.NODE_STOPPING, settings.name(), "a signal", 0);
--- a/src/main/java/org/wigeongrade/fleet/control/ControlDesk.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlRequestHandler.java
@@ -28,36 +28,36 @@
 import org.wigeongrade.nodes.log.RaftReplicatedLog;
 
 /**
- * Answers operators and endpoint VMs at one control node.
+ * Handles requests of operators and endpoint VMs at one control node.
  *
- * <p>Invariants: a change is accepted only once it lies on enough disks; a read is answered only by a leader whose lease
- * held before the state was read, so that it is complete, and after, so that it is never older than an accepted change.
- * Thread safe; holds no lock of its own.
+ * <p>Invariants: a change is accepted only once it is on enough disks. A read is answered only by a leader that held its
+ * lease before the state was read, so that the response is complete, and after, so that it is never older than an
+ * accepted change. Thread safe; holds no lock of its own.
  */
-public final class ControlDesk {
+public final class ControlRequestHandler {
     private final NodeName self;
     private final RaftReplicatedLog log;
     private final PublishedStateMachine machine;
     private final VmRegistry registry;
     private final ControlDirectory directory;
     private final DocumentReader reader;
-    private final RelayQueue relay;
-    private final Runnable onNews;
-    private final IntSupplier votersNeeded;
+    private final HeartbeatRelay heartbeatRelay;
+    private final Runnable requestPlanning;
+    private final IntSupplier requiredVoters;
     private final EventLog events;
     private final LongSupplier nanoClock;
 
-    /** @param onNews is told when a VM changed its group or leaves, so that the leader plans soon */
-    ControlDesk(
+    /** @param requestPlanning called when a VM appears, changes group or leaves, so that the leader plans soon */
+    ControlRequestHandler(
             NodeName self,
             RaftReplicatedLog log,
             PublishedStateMachine machine,
             VmRegistry registry,
             ControlDirectory directory,
             DocumentReader reader,
-            RelayQueue relay,
-            Runnable onNews,
-            IntSupplier votersNeeded,
+            HeartbeatRelay heartbeatRelay,
+            Runnable requestPlanning,
+            IntSupplier requiredVoters,
             EventLog events,
             LongSupplier nanoClock) {
         this.self = self;
@@ -66,55 +66,55 @@
         this.registry = registry;
         this.directory = directory;
         this.reader = reader;
-        this.relay = relay;
-        this.onNews = onNews;
-        this.votersNeeded = votersNeeded;
+        this.heartbeatRelay = heartbeatRelay;
+        this.requestPlanning = requestPlanning;
+        this.requiredVoters = requiredVoters;
         this.events = events;
         this.nanoClock = nanoClock;
     }
 
-    /** Takes a heartbeat; a late one is answered, too, and changes nothing. */
-    public DeskAnswer hear(VmHeartbeat heartbeat) {
-        final Optional<VmRecord> known = registry.find(heartbeat.vm().vm());
+    /** Records a heartbeat. An outdated one changes nothing but gets the same response. */
+    public ControlResponse handleHeartbeat(VmHeartbeat heartbeat) {
+        final Optional<VmRecord> previous = registry.find(heartbeat.vm().vm());
         if (registry.hear(heartbeat, nanoClock.getAsLong())) {
-            noteChange(known, heartbeat);
-            relay.add(heartbeat.vm().vm());
+            handleVmChange(previous, heartbeat);
+            heartbeatRelay.notifyListeners(heartbeat.vm().vm());
         }
-        return new DeskAnswer.Heard(leaderElsewhere());
+        return new ControlResponse.HeartbeatAccepted(otherLeaderAddress());
     }
 
-    /** Takes the news that a VM leaves for good. */
-    public DeskAnswer depart(VmName vm) {
+    /** Records that a VM leaves permanently. */
+    public ControlResponse deregister(VmName vm) {
         registry.depart(vm);
         events.write(LogEvent.ENDPOINT_LEAVING, vm);
-        relay.add(vm);
-        onNews.run();
-        return new DeskAnswer.Accepted();
+        heartbeatRelay.notifyListeners(vm);
+        requestPlanning.run();
+        return new ControlResponse.Accepted();
     }
 
-    /** Checks and publishes a configuration. */
-    public CompletableFuture<DeskAnswer> publish(byte[] document) {
+    /** Validates and publishes a configuration. */
+    public CompletableFuture<ControlResponse> publish(byte[] document) {
         final PublishedConfiguration configuration;
         try {
             configuration = reader.read(document);
         } catch (WigeongradeException e) {
-            return refused(0, ImmutableList.of(e.getMessage()));
+            return reject(0, ImmutableList.of(e.getMessage()));
         }
-        final List<PublishedFault> faults = PublishedChecker.check(configuration);
-        if (!faults.isEmpty()) {
-            return refused(
+        final List<PublishedFault> errors = PublishedChecker.check(configuration);
+        if (!errors.isEmpty()) {
+            return reject(
                     configuration.version(),
-                    faults.stream().map(PublishedFault::toString).toList());
+                    errors.stream().map(PublishedFault::toString).toList());
         }
         return submit(
                 new PublishedCommand.Publish(configuration.version(), Bytes.wrap(document)), configuration.version());
     }
 
-    /** Takes an availability zone out or brings it in. */
-    public CompletableFuture<DeskAnswer> setZone(AvailabilityZone zone, boolean out) {
+    /** Takes an availability zone out of service or puts it back. */
+    public CompletableFuture<ControlResponse> setZone(AvailabilityZone zone, boolean out) {
         return submit(new PublishedCommand.SetZone(zone, out), machine.state().version())
-                .whenComplete((answer, failure) -> {
-                    if (answer instanceof DeskAnswer.Accepted) {
+                .whenComplete((response, failure) -> {
+                    if (response instanceof ControlResponse.Accepted) {
                         events.write(
                                 out ? LogEvent.ZONE_OUT : LogEvent.ZONE_IN,
                                 zone,
@@ -124,83 +124,83 @@
                 });
     }
 
-    /** Returns the newest configuration. */
-    public DeskAnswer read() {
+    /** Returns the newest configuration if this node leads. */
+    public ControlResponse readConfiguration() {
         final boolean ledBefore = log.leadsWithLease();
         final PublishedState state = machine.state();
         if (!ledBefore || !log.leadsWithLease()) {
-            return elsewhereOrUnavailable();
+            return redirectOrUnavailable();
         }
         return state.document()
                 .map(Bytes::wrap)
-                .<DeskAnswer>map(DeskAnswer.Document::new)
-                .orElseGet(DeskAnswer.Nothing::new);
+                .<ControlResponse>map(ControlResponse.Document::new)
+                .orElseGet(ControlResponse.NotPublished::new);
     }
 
-    private CompletableFuture<DeskAnswer> submit(PublishedCommand command, long version) {
+    private CompletableFuture<ControlResponse> submit(PublishedCommand command, long version) {
         if (!log.leadsWithLease()) {
-            return CompletableFuture.completedFuture(elsewhereOrUnavailable());
+            return CompletableFuture.completedFuture(redirectOrUnavailable());
         }
         final int voters = log.membership().incarnations().size();
-        if (voters < votersNeeded.getAsInt()) {
-            return CompletableFuture.completedFuture(new DeskAnswer.Unavailable(
-                    voters + " control VMs vote, " + votersNeeded.getAsInt() + " are needed; try again"));
+        if (voters < requiredVoters.getAsInt()) {
+            return CompletableFuture.completedFuture(new ControlResponse.Unavailable(
+                    voters + " control VMs are voters, but " + requiredVoters.getAsInt() + " are required; try again"));
         }
         return log.submit(command.encode()).handle((result, failure) -> {
             if (failure != null) {
                 events.write(LogEvent.CONFIGURATION_REFUSED, version, self, "outcome_unknown", failure.getMessage());
-                return new DeskAnswer.Unavailable("the change may or may not have taken effect; send it again");
+                return new ControlResponse.Unavailable("the change may or may not have taken effect; send it again");
             }
-            return answerOf(command, version, PublishedStateMachine.outcome(result));
+            return responseTo(command, version, PublishedStateMachine.outcome(result));
         });
     }
 
-    private DeskAnswer answerOf(PublishedCommand command, long version, PublishOutcome outcome) {
+    private ControlResponse responseTo(PublishedCommand command, long version, PublishOutcome outcome) {
         if (outcome == PublishOutcome.VERSION_TAKEN) {
-            final String message = "version " + version + " is in force with another content; use a higher version";
+            final String message = "version " + version + " is already in force with different content; use a higher version";
             events.write(LogEvent.CONFIGURATION_REFUSED, version, self, "version_taken", message);
-            return new DeskAnswer.Conflict(message);
+            return new ControlResponse.Conflict(message);
         }
         if (command instanceof PublishedCommand.Publish) {
             events.write(LogEvent.CONFIGURATION_APPLIED, version, self, outcome);
         }
-        return new DeskAnswer.Accepted();
+        return new ControlResponse.Accepted();
     }
 
-    private CompletableFuture<DeskAnswer> refused(long version, List<String> faults) {
-        events.write(LogEvent.CONFIGURATION_REFUSED, version, self, "invalid_configuration", faults);
-        return CompletableFuture.completedFuture(new DeskAnswer.Invalid(faults));
+    private CompletableFuture<ControlResponse> reject(long version, List<String> errors) {
+        events.write(LogEvent.CONFIGURATION_REFUSED, version, self, "invalid_configuration", errors);
+        return CompletableFuture.completedFuture(new ControlResponse.Invalid(errors));
     }
 
-    private DeskAnswer elsewhereOrUnavailable() {
-        return leaderElsewhere()
-                .<DeskAnswer>map(DeskAnswer.Elsewhere::new)
-                .orElseGet(() -> new DeskAnswer.Unavailable("no leader is known; try again"));
+    private ControlResponse redirectOrUnavailable() {
+        return otherLeaderAddress()
+                .<ControlResponse>map(ControlResponse.RedirectToLeader::new)
+                .orElseGet(() -> new ControlResponse.Unavailable("no leader is known; try again"));
     }
 
-    private Optional<InetSocketAddress> leaderElsewhere() {
+    private Optional<InetSocketAddress> otherLeaderAddress() {
         return log.leader()
                 .filter(leader -> !leader.equals(self))
                 .map(leader -> directory.controlAddress(leader.value()));
     }
 
-    private void noteChange(Optional<VmRecord> known, VmHeartbeat heartbeat) {
-        final boolean sameLife =
-                known.filter(vm -> vm.vm().equals(heartbeat.vm())).isPresent();
-        if (!sameLife) {
+    private void handleVmChange(Optional<VmRecord> previous, VmHeartbeat heartbeat) {
+        final boolean sameIncarnation =
+                previous.filter(vm -> vm.vm().equals(heartbeat.vm())).isPresent();
+        if (!sameIncarnation) {
             events.write(
                     LogEvent.ENDPOINT_ANNOUNCED,
                     heartbeat.vm().vm(),
                     heartbeat.vm().incarnation());
         }
-        final boolean wasDraining = sameLife && known.orElseThrow().heartbeat().draining();
+        final boolean wasDraining = sameIncarnation && previous.orElseThrow().heartbeat().draining();
         if (heartbeat.draining() && !wasDraining) {
             events.write(LogEvent.ENDPOINT_LEAVING, heartbeat.vm());
         }
         final boolean sameGroup =
-                sameLife && known.orElseThrow().heartbeat().group().equals(heartbeat.group());
+                sameIncarnation && previous.orElseThrow().heartbeat().group().equals(heartbeat.group());
         if (!sameGroup || heartbeat.draining() != wasDraining) {
-            onNews.run();
+            requestPlanning.run();
         }
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/control/ControlService.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlService.java
@@ -24,10 +24,10 @@
 import org.wigeongrade.nodes.log.RaftReplicatedLog;
 
 /**
- * Answers calls of other nodes.
+ * Serves calls from other nodes.
  *
- * <p>Invariant: a pull is answered as the leader only if the lease held before and after the state was read, so the answer
- * holds every change that was accepted before the pull was sent. Thread safe; holds no state of its own.
+ * <p>Invariant: a reply to a pull says that this node leads only if the lease was held before and after the state was
+ * read. Such a reply contains every change that was accepted before the pull was sent. Thread safe; stateless.
  */
 final class ControlService implements FleetService.Iface {
     private static final System.Logger LOGGER = System.getLogger(ControlService.class.getName());
@@ -37,8 +37,8 @@
     private final VmRegistry registry;
     private final ControlDirectory directory;
     private final Supplier<Optional<LeaderTerm>> leaderTerm;
-    private final Consumer<List<String>> learned;
-    private final Runnable onNews;
+    private final Consumer<List<String>> onControlVmsLearned;
+    private final Runnable requestPlanning;
     private final LongSupplier nanoClock;
 
     ControlService(
@@ -47,16 +47,16 @@
             VmRegistry registry,
             ControlDirectory directory,
             Supplier<Optional<LeaderTerm>> leaderTerm,
-            Consumer<List<String>> learned,
-            Runnable onNews,
+            Consumer<List<String>> onControlVmsLearned,
+            Runnable requestPlanning,
             LongSupplier nanoClock) {
         this.log = log;
         this.machine = machine;
         this.registry = registry;
         this.directory = directory;
         this.leaderTerm = leaderTerm;
-        this.learned = learned;
-        this.onNews = onNews;
+        this.onControlVmsLearned = onControlVmsLearned;
+        this.requestPlanning = requestPlanning;
         this.nanoClock = nanoClock;
     }
 
@@ -74,31 +74,31 @@
         final boolean ledBefore = log.leadsWithLease();
         final PublishedState state = machine.state();
         writeState(state, request.getConfigurationVersion(), reply);
-        term.get().answer(request, reply, nanoClock.getAsLong());
+        term.get().handlePull(request, reply, nanoClock.getAsLong());
         return reply.setLeads(ledBefore && log.leadsWithLease());
     }
 
     @Override
     public ExchangeReply exchange(ExchangeRequest request) {
-        learned.accept(List.of(request.getSender()));
-        learned.accept(request.getControlVms());
+        onControlVmsLearned.accept(List.of(request.getSender()));
+        onControlVmsLearned.accept(request.getControlVms());
         final long nowNanos = nanoClock.getAsLong();
-        request.getHeartbeats().forEach(heartbeat -> hear(heartbeat, nowNanos));
+        request.getHeartbeats().forEach(heartbeat -> applyHeartbeat(heartbeat, nowNanos));
         if (!request.getHeartbeats().isEmpty()) {
-            onNews.run();
+            requestPlanning.run();
         }
         return new ExchangeReply(List.copyOf(directory.known()));
     }
 
-    private void hear(HeartbeatRecord heartbeat, long nowNanos) {
+    private void applyHeartbeat(HeartbeatRecord heartbeat, long nowNanos) {
         try {
             registry.hear(
-                    HeartbeatRecords.decode(heartbeat), nowNanos - TimeUnit.MILLISECONDS.toNanos(heartbeat.getAgeMs()));
+                    HeartbeatCodec.decode(heartbeat), nowNanos - TimeUnit.MILLISECONDS.toNanos(heartbeat.getAgeMs()));
             if (heartbeat.isDeparted()) {
                 registry.depart(VmName.of(heartbeat.getVm()));
             }
         } catch (IllegalArgumentException e) {
-            LOGGER.log(System.Logger.Level.WARNING, "heartbeat from another control VM dropped: " + e.getMessage());
+            LOGGER.log(System.Logger.Level.WARNING, "dropped a heartbeat relayed by another control VM: " + e.getMessage());
         }
     }
 
--- a/src/main/java/org/wigeongrade/fleet/control/DocumentReader.java
+++ b/src/main/java/org/wigeongrade/fleet/control/DocumentReader.java
@@ -2,13 +2,13 @@
 
 import org.wigeongrade.decisions.published.PublishedConfiguration;
 
-/** Reads a configuration as operators hand it in. Implementations are stateless and safe for use from any thread. */
+/** Parses configuration documents of operators. Implementations are stateless and safe for use from any thread. */
 @FunctionalInterface
 public interface DocumentReader {
     /**
-     * Reads the whole document, without checking what its objects say of each other.
+     * Parses the whole document, without checking references between its objects.
      *
-     * @throws org.wigeongrade.errors.WigeongradeException of kind INVALID_CONFIGURATION if it cannot be read in full
+     * @throws org.wigeongrade.errors.WigeongradeException of kind INVALID_CONFIGURATION if any part cannot be parsed
      */
     PublishedConfiguration read(byte[] document);
 }
--- a/src/main/java/org/wigeongrade/fleet/control/EvidenceTable.java
+++ b/src/main/java/org/wigeongrade/fleet/control/EntryNodeReports.java
@@ -14,55 +14,56 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * What the entry nodes last reported of the endpoints.
+ * The latest report of each entry node on the endpoints that it uses.
  *
- * <p>Invariant: a report counts until the node's next one, or until the node is forgotten. Not thread safe; {@link
- * LeaderTerm} guards it.
+ * <p>Invariant: a report is valid until the node's next one, or until it expires. Not thread safe; {@link LeaderTerm}
+ * guards it.
  */
-final class EvidenceTable {
+final class EntryNodeReports {
     private record Report(long receivedNanos, List<UsageRecord> usage) {}
 
     private final Map<NodeName, Report> reports = new HashMap<>();
-    private final Map<VmIncarnation, Long> progressedNanos = new HashMap<>();
+    private final Map<VmIncarnation, Long> lastProgressNanos = new HashMap<>();
 
-    void report(NodeName entryNode, List<UsageRecord> usage, long nowNanos) {
+    /** Replaces the report of an entry node and notes when each endpoint last made progress. */
+    void update(NodeName entryNode, List<UsageRecord> usage, long nowNanos) {
         reports.put(entryNode, new Report(nowNanos, usage));
         usage.stream()
                 .filter(UsageRecord::isProgressed)
-                .forEach(record -> progressedNanos.merge(
-                        lifeOf(record),
-                        nowNanos - TimeUnit.MILLISECONDS.toNanos(record.getSinceProgressMs()),
+                .forEach(endpointUsage -> lastProgressNanos.merge(
+                        incarnationOf(endpointUsage),
+                        nowNanos - TimeUnit.MILLISECONDS.toNanos(endpointUsage.getSinceProgressMs()),
                         Math::max));
     }
 
-    /** Returns the number of entry nodes that pulled of late. */
-    int entryNodes(long nowNanos) {
-        forget(nowNanos);
+    /** Returns the number of entry nodes whose last report has not expired. */
+    int countEntryNodes(long nowNanos) {
+        removeExpired(nowNanos);
         return reports.size();
     }
 
-    /** Returns what the other entry nodes have at each endpoint, summed up. */
-    ImmutableMap<String, Integer> elsewhere(NodeName asking, ToIntFunction<UsageRecord> amount) {
+    /** Returns {@code amount} by VM, summed over all entry nodes except {@code excludedNode}. */
+    ImmutableMap<String, Integer> sumOverOtherNodes(NodeName excludedNode, ToIntFunction<UsageRecord> amount) {
         final Map<String, Integer> sums = new HashMap<>();
         reports.forEach((node, report) -> {
-            if (!node.equals(asking)) {
+            if (!node.equals(excludedNode)) {
                 report.usage().forEach(record -> sums.merge(record.getVm(), amount.applyAsInt(record), Integer::sum));
             }
         });
         return ImmutableMap.copyOf(sums);
     }
 
-    /** Returns the evidence for each endpoint that was reported. */
-    ImmutableMap<VmName, EndpointEvidence> evidence(long nowNanos) {
-        forget(nowNanos);
-        final Map<VmName, EndpointEvidence> found = new HashMap<>();
+    /** Returns the merged evidence for each endpoint that an entry node reported. */
+    ImmutableMap<VmName, EndpointEvidence> evidenceByVm(long nowNanos) {
+        removeExpired(nowNanos);
+        final Map<VmName, EndpointEvidence> merged = new HashMap<>();
         for (final Report report : reports.values()) {
             final long ageMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - report.receivedNanos());
             for (final UsageRecord record : report.usage()) {
-                found.merge(VmName.of(record.getVm()), evidenceOf(record, ageMs), EvidenceTable::both);
+                merged.merge(VmName.of(record.getVm()), evidenceOf(record, ageMs), EntryNodeReports::merge);
             }
         }
-        return ImmutableMap.copyOf(found);
+        return ImmutableMap.copyOf(merged);
     }
 
     private EndpointEvidence evidenceOf(UsageRecord record, long ageMs) {
@@ -70,11 +71,11 @@
         return new EndpointEvidence(
                 record.getInFlight(),
                 stalledMs,
-                progressedNanos.getOrDefault(lifeOf(record), Long.MIN_VALUE),
+                lastProgressNanos.getOrDefault(incarnationOf(record), Long.MIN_VALUE),
                 record.isRefusedConnection());
     }
 
-    private static EndpointEvidence both(EndpointEvidence first, EndpointEvidence second) {
+    private static EndpointEvidence merge(EndpointEvidence first, EndpointEvidence second) {
         return new EndpointEvidence(
                 first.inFlight() + second.inFlight(),
                 Math.min(first.stalledMs(), second.stalledMs()),
@@ -82,13 +83,13 @@
                 first.refusedConnection() || second.refusedConnection());
     }
 
-    private void forget(long nowNanos) {
-        final long forgottenNanos = TimeUnit.MILLISECONDS.toNanos(FleetTimings.ENTRY_FORGOTTEN_MS);
-        reports.values().removeIf(report -> nowNanos - report.receivedNanos() > forgottenNanos);
-        progressedNanos.values().removeIf(nanos -> nowNanos - nanos > forgottenNanos);
+    private void removeExpired(long nowNanos) {
+        final long maxAgeNanos = TimeUnit.MILLISECONDS.toNanos(FleetTimings.ENTRY_FORGOTTEN_MS);
+        reports.values().removeIf(report -> nowNanos - report.receivedNanos() > maxAgeNanos);
+        lastProgressNanos.values().removeIf(nanos -> nowNanos - nanos > maxAgeNanos);
     }
 
-    private static VmIncarnation lifeOf(UsageRecord record) {
+    private static VmIncarnation incarnationOf(UsageRecord record) {
         return new VmIncarnation(VmName.of(record.getVm()), record.getIncarnation());
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/control/HeartbeatRecords.java
+++ b/src/main/java/org/wigeongrade/fleet/control/HeartbeatCodec.java
@@ -16,9 +16,9 @@
 import org.wigeongrade.ids.VmIncarnation;
 import org.wigeongrade.ids.VmName;
 
-/** Converts heartbeats to and from what control VMs send each other. Stateless; safe for use from any thread. */
-final class HeartbeatRecords {
-    private HeartbeatRecords() {}
+/** Converts heartbeats to and from the records that control VMs exchange. Stateless; safe for use from any thread. */
+final class HeartbeatCodec {
+    private HeartbeatCodec() {}
 
     static HeartbeatRecord encode(VmRecord vm, long nowNanos) {
         final VmHeartbeat heartbeat = vm.heartbeat();
@@ -63,14 +63,14 @@
                 encoded.getSlots(),
                 encoded.isDraining(),
                 encoded.getColdForMs(),
-                present(encoded.getFabricDomain()).map(FabricDomain::of),
+                nonEmpty(encoded.getFabricDomain()).map(FabricDomain::of),
                 encoded.getStagedModels().stream().map(ModelVersionName::of).collect(ImmutableSet.toImmutableSet()),
-                present(encoded.getLoadedModel()).map(ModelVersionName::of),
+                nonEmpty(encoded.getLoadedModel()).map(ModelVersionName::of),
                 decodeGroup(encoded));
     }
 
     private static Optional<GroupReport> decodeGroup(HeartbeatRecord encoded) {
-        return present(encoded.getGroupState())
+        return nonEmpty(encoded.getGroupState())
                 .map(state -> new GroupReport(
                         GroupName.of(encoded.getGroupName()),
                         encoded.getGroupEpoch(),
@@ -78,7 +78,7 @@
                         GroupState.valueOf(state)));
     }
 
-    private static Optional<String> present(String text) {
+    private static Optional<String> nonEmpty(String text) {
         return Optional.ofNullable(text).filter(value -> !value.isEmpty());
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/control/LeaderLoop.java
+++ b/src/main/java/org/wigeongrade/fleet/control/LeaderLoop.java
@@ -19,27 +19,28 @@
 import org.wigeongrade.nodes.log.RaftReplicatedLog;
 
 /**
- * Plans while this node leads: at a fixed interval, and soon after news of a group.
+ * Runs planning steps while this node leads: at a fixed interval, and soon after a group changes.
  *
- * <p>Invariant: a term's plans are made by one {@link LeaderTerm}, and only while the lease holds. Thread safe.
+ * <p>Invariant: all plans of a term come from one {@link LeaderTerm}, and are made only while the lease is held. Thread
+ * safe.
  */
 final class LeaderLoop implements AutoCloseable {
-    /** Heartbeats that a new leader waits for before what it did not hear of counts as lost. */
-    private static final double SETTLING_HEARTBEATS = 2;
+    /** Heartbeat intervals after the start of this node before a VM that it has not heard from counts as lost. */
+    private static final double DISCOVERY_HEARTBEATS = 2;
 
     private final NodeName self;
     private final RaftReplicatedLog log;
     private final PublishedStateMachine machine;
     private final VmRegistry registry;
     private final ConfigurationCache configurations;
-    private final OrderSender orders;
+    private final OrderSender orderSender;
     private final GroupTimings timings;
     private final EventLog events;
     private final LongSupplier nanoClock;
     private final long startedNanos;
     private final Thread worker = new Thread(this::run, "plan");
-    private final Semaphore news = new Semaphore(0);
-    private volatile Optional<LeaderTerm> current = Optional.empty();
+    private final Semaphore wakeUps = new Semaphore(0);
+    private volatile Optional<LeaderTerm> currentTerm = Optional.empty();
 
     LeaderLoop(
             NodeName self,
@@ -47,7 +48,7 @@
             PublishedStateMachine machine,
             VmRegistry registry,
             ConfigurationCache configurations,
-            OrderSender orders,
+            OrderSender orderSender,
             GroupTimings timings,
             EventLog events,
             LongSupplier nanoClock) {
@@ -56,7 +57,7 @@
         this.machine = machine;
         this.registry = registry;
         this.configurations = configurations;
-        this.orders = orders;
+        this.orderSender = orderSender;
         this.timings = timings;
         this.events = events;
         this.nanoClock = nanoClock;
@@ -68,14 +69,14 @@
         worker.start();
     }
 
-    /** Returns the term that this node leads; empty if it does not lead. */
-    Optional<LeaderTerm> current() {
-        return current;
+    /** Returns the state of the term that this node leads; empty if it does not lead. */
+    Optional<LeaderTerm> currentTerm() {
+        return currentTerm;
     }
 
-    /** Asks for a step soon, since an answer or the report of a group came. */
+    /** Requests a planning step soon; called after an order's answer or a change of a group. */
     void wake() {
-        news.release();
+        wakeUps.release();
     }
 
     private void run() {
@@ -83,9 +84,9 @@
             while (true) {
                 step();
                 Thread.sleep(FleetTimings.SHORTEST_PLAN_INTERVAL_MS);
-                final boolean unused = news.tryAcquire(
+                final boolean unused = wakeUps.tryAcquire(
                         FleetTimings.PLAN_INTERVAL_MS - FleetTimings.SHORTEST_PLAN_INTERVAL_MS, TimeUnit.MILLISECONDS);
-                news.drainPermits();
+                wakeUps.drainPermits();
             }
         } catch (InterruptedException e) {
             endTerm("the node stops");
@@ -98,13 +99,13 @@
             return;
         }
         final long term = log.term();
-        if (current.filter(known -> known.term() == term).isEmpty()) {
+        if (currentTerm.filter(leaderTerm -> leaderTerm.term() == term).isEmpty()) {
             endTerm("a newer term");
-            current = Optional.of(new LeaderTerm(term, timings, events, nanoClock.getAsLong()));
+            currentTerm = Optional.of(new LeaderTerm(term, timings, events, nanoClock.getAsLong()));
             events.write(LogEvent.LEADER_ELECTED, self, term);
         }
         try {
-            plan(current.get());
+            plan(currentTerm.get());
         } catch (RuntimeException e) {
             events.writeFault(LogEvent.PLACEMENT_FAILED, e, e);
         }
@@ -117,24 +118,24 @@
             return;
         }
         final List<VmRecord> vms = registry.records(nowNanos);
-        final long settlingNanos = (long) (SETTLING_HEARTBEATS * timings.heartbeatNanos());
-        final boolean known = nowNanos - startedNanos > settlingNanos && !vms.isEmpty();
-        final List<GroupOrder> given =
-                term.plan(configurations.get(state.version(), state.document().get()), vms, known, nowNanos);
+        final long discoveryNanos = (long) (DISCOVERY_HEARTBEATS * timings.heartbeatNanos());
+        final boolean vmsKnown = nowNanos - startedNanos > discoveryNanos && !vms.isEmpty();
+        final List<GroupOrder> plannedOrders =
+                term.plan(configurations.get(state.version(), state.document().get()), vms, vmsKnown, nowNanos);
         if (log.leadsWithLease()) {
-            given.forEach(order -> orders.send(order, (sent, answer) -> {
-                term.answered(sent, answer, nanoClock.getAsLong());
+            plannedOrders.forEach(order -> orderSender.send(order, (sent, answer) -> {
+                term.handleOrderAnswer(sent, answer, nanoClock.getAsLong());
                 wake();
             }));
         }
     }
 
     private void endTerm(String cause) {
-        current.ifPresent(term -> events.write(LogEvent.LEADER_LOST, self, term.term(), cause));
-        current = Optional.empty();
+        currentTerm.ifPresent(term -> events.write(LogEvent.LEADER_LOST, self, term.term(), cause));
+        currentTerm = Optional.empty();
     }
 
-    /** Waits for no longer than a step, then ends. */
+    /** Interrupts the planning thread and waits up to one second for it to end. */
     @Override
     public void close() {
         worker.interrupt();
--- a/src/main/java/org/wigeongrade/fleet/control/LeaderTerm.java
+++ b/src/main/java/org/wigeongrade/fleet/control/LeaderTerm.java
@@ -37,17 +37,20 @@
 import org.wigeongrade.logging.LogEvent;
 
 /**
- * What a leader decides in one term and holds in memory only: groups, routable endpoints, evidence, quarantine.
+ * The in-memory state of a leader for one term: groups, routable endpoints, reports of entry nodes and quarantine.
  *
- * <p>Invariant: nothing here outlives the term; everything is rebuilt from heartbeats and pulls. Thread safe; its lock is
- * taken before that of the registry.
+ * <p>Invariant: nothing here outlives the term; a new leader rebuilds everything from heartbeats and pulls. Thread safe;
+ * its lock is acquired before that of the registry.
  */
 final class LeaderTerm {
-    /** A plain endpoint that was silent for this many heartbeats is routed to no more, unless it answers. */
-    private static final int PLAIN_SILENT_HEARTBEATS = 4;
-    /** A request that crashed endpoints is refused for this long; clients give up long before. */
+    /**
+     * An endpoint without an engine stops being routable after this many missed heartbeats, unless it still answers
+     * requests.
+     */
+    private static final int PLAIN_MAX_MISSED_HEARTBEATS = 4;
+    /** How long a request that crashed endpoints is refused; clients give up long before. */
     private static final long QUARANTINE_MS = 60_000;
-    /** A request that was at one lost endpoint is remembered for this long. */
+    /** How long a request that was in flight at one lost endpoint stays a suspect. */
     private static final long SUSPECT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private final long term;
@@ -55,11 +58,12 @@
     private final EventLog events;
     private final long startedNanos;
     private final Map<ServiceName, GroupPlanner> planners = new HashMap<>();
-    private final RoutableTable routables = new RoutableTable();
-    private final EvidenceTable evidence = new EvidenceTable();
+    private final RoutableEndpointTable routableEndpoints = new RoutableEndpointTable();
+    private final EntryNodeReports entryReports = new EntryNodeReports();
     private final CrashSuspects suspects = new CrashSuspects(SUSPECT_NANOS, 0);
     private final QuarantineTable quarantine = new QuarantineTable();
     private long crashSequence;
+    /** Whether heartbeats have come in for long enough to plan; until then, existing groups are only taken over. */
     private boolean settled;
 
     LeaderTerm(long term, GroupTimings timings, EventLog events, long nowNanos) {
@@ -73,83 +77,84 @@
         return term;
     }
 
-    /** Makes one step of planning and returns the orders to give. */
+    /** Runs one planning step and returns the orders to send. */
     synchronized ImmutableList<GroupOrder> plan(
             PublishedConfiguration configuration, List<VmRecord> vms, boolean vmsKnown, long nowNanos) {
         settled = settled || vmsKnown;
         final ImmutableList.Builder<GroupOrder> orders = ImmutableList.builder();
-        final Map<VmName, RoutableTable.Routable> routable = new HashMap<>();
+        final Map<VmName, RoutableEndpointTable.RoutableEndpoint> routableByVm = new HashMap<>();
         for (final PublishedService service : configuration.services()) {
-            final ImmutableList<VmRecord> own = vms.stream()
+            final ImmutableList<VmRecord> serviceVms = vms.stream()
                     .filter(vm -> vm.heartbeat().service().equals(service.name()))
                     .collect(ImmutableList.toImmutableList());
             if (service.engine().isPresent()) {
-                orders.addAll(planGroups(service, own, routable, nowNanos));
+                orders.addAll(planGroups(service, serviceVms, routableByVm, nowNanos));
             } else {
-                addPlain(own, routable, nowNanos);
+                addPlainEndpoints(serviceVms, routableByVm, nowNanos);
             }
         }
-        routables.replace(routable);
+        routableEndpoints.replace(routableByVm);
         return orders.build();
     }
 
-    synchronized void answered(GroupOrder order, OrderAnswer answer, long nowNanos) {
+    /** Passes the outcome of an order to every planner. */
+    synchronized void handleOrderAnswer(GroupOrder order, OrderAnswer answer, long nowNanos) {
         planners.values().forEach(planner -> planner.answered(order, answer, nowNanos));
     }
 
-    /** Takes in what an entry node saw and writes what it does not know yet. */
-    synchronized void answer(PullRequest request, PullReply reply, long nowNanos) {
+    /** Records the report of an entry node and writes the changes that the node does not have yet. */
+    synchronized void handlePull(PullRequest request, PullReply reply, long nowNanos) {
         final NodeName node = NodeName.of(request.getNode());
-        evidence.report(node, request.getUsage(), nowNanos);
-        takeCrashes(node, request.getCrashes(), nowNanos);
+        entryReports.update(node, request.getUsage(), nowNanos);
+        recordCrashes(node, request.getCrashes(), nowNanos);
         final boolean complete = request.getTerm() != term;
-        routables.write(reply, request.getChangeNumber(), complete, nowNanos);
+        routableEndpoints.writeChanges(reply, request.getChangeNumber(), complete, nowNanos);
         reply.setTerm(term)
                 .setSettled(settled)
-                .setEntryVms(evidence.entryNodes(nowNanos))
-                .setInFlightElsewhere(evidence.elsewhere(node, UsageRecord::getInFlight))
-                .setUnreadTokensElsewhere(evidence.elsewhere(node, UsageRecord::getUnreadTokens))
+                .setEntryVms(entryReports.countEntryNodes(nowNanos))
+                .setInFlightElsewhere(entryReports.sumOverOtherNodes(node, UsageRecord::getInFlight))
+                .setUnreadTokensElsewhere(entryReports.sumOverOtherNodes(node, UsageRecord::getUnreadTokens))
                 .setQuarantined(quarantined(nowNanos));
     }
 
     private ImmutableList<GroupOrder> planGroups(
             PublishedService service,
-            ImmutableList<VmRecord> vms,
-            Map<VmName, RoutableTable.Routable> routable,
+            ImmutableList<VmRecord> serviceVms,
+            Map<VmName, RoutableEndpointTable.RoutableEndpoint> routableByVm,
             long nowNanos) {
         final GroupPlanner planner = planners.computeIfAbsent(
-                service.name(), name -> new GroupPlanner(term, timings, this::note, startedNanos));
+                service.name(), name -> new GroupPlanner(term, timings, this::logGroupChange, startedNanos));
         final EngineProfile engine = service.engine().orElseThrow();
         if (!settled) {
-            planner.takeOver(engine, vms, nowNanos);
+            planner.takeOver(engine, serviceVms, nowNanos);
         }
         final ImmutableList<GroupOrder> orders =
-                settled ? planner.plan(engine, vms, evidence.evidence(nowNanos), nowNanos) : ImmutableList.of();
-        final ImmutableMap<VmIncarnation, VmRecord> byLife =
-                vms.stream().collect(ImmutableMap.toImmutableMap(VmRecord::vm, vm -> vm));
+                settled ? planner.plan(engine, serviceVms, entryReports.evidenceByVm(nowNanos), nowNanos) : ImmutableList.of();
+        final ImmutableMap<VmIncarnation, VmRecord> byIncarnation =
+                serviceVms.stream().collect(ImmutableMap.toImmutableMap(VmRecord::vm, vm -> vm));
         for (final ServingGroup group : planner.serving(engine)) {
-            Optional.ofNullable(byLife.get(group.head()))
-                    .ifPresent(head -> routable.put(
+            Optional.ofNullable(byIncarnation.get(group.head()))
+                    .ifPresent(head -> routableByVm.put(
                             head.vm().vm(),
-                            new RoutableTable.Routable(
+                            new RoutableEndpointTable.RoutableEndpoint(
                                     head, Optional.of(group.model()), group.paceFactor(), group.suspect())));
         }
         return orders;
     }
 
-    private void addPlain(ImmutableList<VmRecord> vms, Map<VmName, RoutableTable.Routable> routable, long nowNanos) {
-        final long silentNanos = PLAIN_SILENT_HEARTBEATS * timings.heartbeatNanos();
-        final var seen = evidence.evidence(nowNanos);
-        vms.stream()
+    private void addPlainEndpoints(ImmutableList<VmRecord> serviceVms, Map<VmName, RoutableEndpointTable.RoutableEndpoint> routableByVm, long nowNanos) {
+        final long maxSilentNanos = PLAIN_MAX_MISSED_HEARTBEATS * timings.heartbeatNanos();
+        final var evidence = entryReports.evidenceByVm(nowNanos);
+        serviceVms.stream()
                 .filter(VmRecord::isStaying)
-                .filter(vm -> vm.silentNanos(nowNanos) <= silentNanos
-                        || Optional.ofNullable(seen.get(vm.vm().vm()))
-                                .filter(found -> found.progressedWithin(silentNanos, nowNanos))
+                .filter(vm -> vm.silentNanos(nowNanos) <= maxSilentNanos
+                        || Optional.ofNullable(evidence.get(vm.vm().vm()))
+                                .filter(endpointEvidence -> endpointEvidence.progressedWithin(maxSilentNanos, nowNanos))
                                 .isPresent())
-                .forEach(vm -> routable.put(vm.vm().vm(), new RoutableTable.Routable(vm, Optional.empty(), 1, false)));
+                .forEach(vm -> routableByVm.put(vm.vm().vm(), new RoutableEndpointTable.RoutableEndpoint(vm, Optional.empty(), 1, false)));
     }
 
-    private void takeCrashes(NodeName node, List<CrashRecord> crashes, long nowNanos) {
+    private void recordCrashes(NodeName node, List<CrashRecord> crashes, long nowNanos) {
         if (crashes.isEmpty()) {
             return;
         }
@@ -174,7 +179,7 @@
         return quarantine.entries().stream().map(Quarantine::requestDigest).toList();
     }
 
-    private void note(GroupChange change) {
+    private void logGroupChange(GroupChange change) {
         events.write(
                 LogEvent.GROUP_PHASE_CHANGED,
                 change.group(),
--- a/src/main/java/org/wigeongrade/fleet/control/OrderCodec.java
+++ b/src/main/java/org/wigeongrade/fleet/control/OrderCodec.java
@@ -5,11 +5,11 @@
 import org.wigeongrade.decisions.grouping.OrderAnswer;
 import org.wigeongrade.fleet.net.OneCall;
 
-/** Writes orders as endpoint VMs take them. Implementations are stateless and safe for use from any thread. */
+/** Encodes orders to endpoint VMs as HTTP. Implementations are stateless and safe for use from any thread. */
 public interface OrderCodec {
     /** Returns the request that carries the order. */
     FullHttpRequest encode(GroupOrder order);
 
-    /** Returns what the answer says of the order. */
+    /** Returns the outcome of the order that the answer reports. */
     OrderAnswer decode(GroupOrder order, OneCall.Answer answer);
 }
--- a/src/main/java/org/wigeongrade/fleet/control/OrderSender.java
+++ b/src/main/java/org/wigeongrade/fleet/control/OrderSender.java
@@ -12,11 +12,11 @@
 import org.wigeongrade.logging.EventLog;
 import org.wigeongrade.logging.LogEvent;
 
-/** Gives orders to endpoint VMs and hands back what came of them. Thread safe. */
+/** Sends orders to endpoint VMs and passes on their outcomes. Thread safe. */
 final class OrderSender {
-    /** Longest wait for the answer to an order, in milliseconds; VMs answer orders at once and are some ms away. */
+    /** Timeout of an order, in milliseconds; VMs answer immediately and are a few milliseconds away. */
     private static final int ORDER_TIMEOUT_MS = 450;
-    /** Longest wait for the answer to a probe, in milliseconds; it is sent twice before a VM counts as lost. */
+    /** Timeout of a probe, in milliseconds; a VM counts as lost only after two probes. */
     private static final int PROBE_TIMEOUT_MS = 250;
 
     private final OneCall calls;
@@ -29,7 +29,8 @@
         this.events = events;
     }
 
-    void send(GroupOrder order, BiConsumer<GroupOrder, OrderAnswer> answered) {
+    /** Sends an order and calls {@code onOutcome} with the answer, or with the outcome that a failure implies. */
+    void send(GroupOrder order, BiConsumer<GroupOrder, OrderAnswer> onOutcome) {
         final HostAndPort target = HostAndPort.fromString(order.address());
         final InetSocketAddress address =
                 new InetSocketAddress(InetAddresses.forString(target.getHost()), target.getPort());
@@ -51,7 +52,7 @@
                                 order.vm(),
                                 outcome + ", " + cause);
                     }
-                    answered.accept(order, outcome);
+                    onOutcome.accept(order, outcome);
                 });
     }
 
--- a/src/main/java/org/wigeongrade/fleet/control/PeerExchange.java
+++ b/src/main/java/org/wigeongrade/fleet/control/PeerExchange.java
@@ -20,47 +20,47 @@
 import org.wigeongrade.logging.LogEvent;
 
 /**
- * Tells one other control VM which heartbeats were heard here, on a thread of its own, and learns which control VMs it
- * knows.
+ * Relays the heartbeats that arrived at this node to one other control VM, on a thread of its own, and learns which
+ * control VMs the peer knows.
  *
- * <p>Invariant: what could not be told is told again with the next exchange. Thread safe.
+ * <p>Invariant: heartbeats of a failed exchange are sent again in the next one. Thread safe.
  */
 final class PeerExchange implements AutoCloseable {
-    /** Pause after hearing something urgent, so that heartbeats that come together travel together, in milliseconds. */
-    private static final long GATHER_MS = 15;
-    /** Pause between tries at a VM that does not answer, in milliseconds. */
+    /** Delay before sending to a leader, in milliseconds, so that heartbeats that arrive together form one batch. */
+    private static final long BATCH_DELAY_MS = 15;
+    /** Pause before the next attempt if the peer does not answer, in milliseconds. */
     private static final long RETRY_PAUSE_MS = 500;
 
     private final String self;
     private final String peer;
     private final ControlDirectory directory;
     private final VmRegistry registry;
-    private final BooleanSupplier urgent;
-    private final Consumer<List<String>> learned;
+    private final BooleanSupplier peerLeads;
+    private final Consumer<List<String>> onControlVmsLearned;
     private final EventLog events;
     private final LongSupplier nanoClock;
-    private final RelayQueue.Waiting waiting = new RelayQueue.Waiting();
+    private final HeartbeatRelay.PendingVms pending = new HeartbeatRelay.PendingVms();
     private final FleetClient client;
     private final Thread worker;
-    private long lostSinceNanos;
+    private long unreachableSinceNanos;
     private boolean reachable = true;
 
-    /** @param urgent whether the peer leads, so that it must hear of everything at once */
+    /** @param peerLeads whether the peer is the leader, which must get heartbeats without delay */
     PeerExchange(
             String self,
             String peer,
             ControlDirectory directory,
             VmRegistry registry,
-            BooleanSupplier urgent,
-            Consumer<List<String>> learned,
+            BooleanSupplier peerLeads,
+            Consumer<List<String>> onControlVmsLearned,
             EventLog events,
             LongSupplier nanoClock) {
         this.self = self;
         this.peer = peer;
         this.directory = directory;
         this.registry = registry;
-        this.urgent = urgent;
-        this.learned = learned;
+        this.peerLeads = peerLeads;
+        this.onControlVmsLearned = onControlVmsLearned;
         this.events = events;
         this.nanoClock = nanoClock;
         this.client = new FleetClient(directory.fleetAddress(peer), FleetTimings.EXCHANGE_TIMEOUT_MS);
@@ -72,16 +72,16 @@
         worker.start();
     }
 
-    void add(VmName vm) {
-        waiting.add(vm);
+    void enqueue(VmName vm) {
+        pending.add(vm);
     }
 
     private void run() {
         try {
             while (true) {
-                final ImmutableSet<VmName> vms = next();
-                if (!tell(vms)) {
-                    vms.forEach(waiting::add);
+                final ImmutableSet<VmName> vms = awaitPending();
+                if (!send(vms)) {
+                    vms.forEach(pending::add);
                     Thread.sleep(RETRY_PAUSE_MS);
                 }
             }
@@ -90,49 +90,49 @@
         }
     }
 
-    private ImmutableSet<VmName> next() throws InterruptedException {
-        if (!urgent.getAsBoolean()) {
+    private ImmutableSet<VmName> awaitPending() throws InterruptedException {
+        if (!peerLeads.getAsBoolean()) {
             Thread.sleep(FleetTimings.EXCHANGE_INTERVAL_MS);
-            return waiting.takeNow();
+            return pending.drain();
         }
-        final ImmutableSet<VmName> first = waiting.take(FleetTimings.EXCHANGE_INTERVAL_MS);
-        Thread.sleep(GATHER_MS);
+        final ImmutableSet<VmName> first = pending.awaitAndDrain(FleetTimings.EXCHANGE_INTERVAL_MS);
+        Thread.sleep(BATCH_DELAY_MS);
         return ImmutableSet.<VmName>builder()
                 .addAll(first)
-                .addAll(waiting.takeNow())
+                .addAll(pending.drain())
                 .build();
     }
 
-    private boolean tell(ImmutableSet<VmName> vms) {
+    private boolean send(ImmutableSet<VmName> vms) {
         final long nowNanos = nanoClock.getAsLong();
         final List<HeartbeatRecord> heartbeats = vms.stream()
                 .map(registry::find)
                 .flatMap(Optional::stream)
-                .map(vm -> HeartbeatRecords.encode(vm, nowNanos))
+                .map(vm -> HeartbeatCodec.encode(vm, nowNanos))
                 .toList();
         final ExchangeRequest request = new ExchangeRequest(self, List.copyOf(directory.known()), heartbeats);
         try {
             final ExchangeReply reply = client.call(calls -> calls.exchange(request));
-            noteReachable(nowNanos);
-            learned.accept(reply.getControlVms());
+            recordReachable(nowNanos);
+            onControlVmsLearned.accept(reply.getControlVms());
             return true;
         } catch (TException e) {
-            noteLost(nowNanos, e);
+            recordUnreachable(nowNanos, e);
             return false;
         }
     }
 
-    private void noteReachable(long nowNanos) {
+    private void recordReachable(long nowNanos) {
         if (!reachable) {
             reachable = true;
-            events.write(LogEvent.PEER_RECONNECTED, peer, TimeUnit.NANOSECONDS.toMillis(nowNanos - lostSinceNanos));
+            events.write(LogEvent.PEER_RECONNECTED, peer, TimeUnit.NANOSECONDS.toMillis(nowNanos - unreachableSinceNanos));
         }
     }
 
-    private void noteLost(long nowNanos, TException cause) {
+    private void recordUnreachable(long nowNanos, TException cause) {
         if (reachable) {
             reachable = false;
-            lostSinceNanos = nowNanos;
+            unreachableSinceNanos = nowNanos;
             events.write(LogEvent.PEER_CALL_FAILED, "exchange", peer, cause);
         }
     }
--- a/src/main/java/org/wigeongrade/fleet/control/ReplicatedPublishedState.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ReplicatedPublishedState.java
@@ -3,7 +3,7 @@
 import org.wigeongrade.decisions.published.PublishedStateMachine;
 import org.wigeongrade.nodes.log.ReplicatedStateMachine;
 
-/** Feeds the replicated log's commands to the published state. Called by the log's thread. */
+/** Applies the commands of the replicated log to the published state. Called only on the log's thread. */
 record ReplicatedPublishedState(PublishedStateMachine machine) implements ReplicatedStateMachine {
     @Override
     public byte[] apply(long index, byte[] command) {
--- /dev/null
+++ b/src/main/java/org/wigeongrade/fleet/control/RoutableEndpointTable.java
@@ -0,0 +1,93 @@
+package org.wigeongrade.fleet.control;
+
+import com.google.common.collect.ImmutableMap;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import org.wigeongrade.decisions.discovery.VmRecord;
+import org.wigeongrade.fleet.thrift.PullReply;
+import org.wigeongrade.fleet.thrift.RoutableRecord;
+import org.wigeongrade.ids.ModelVersionName;
+import org.wigeongrade.ids.VmName;
+
+/**
+ * The endpoints that requests may be sent to. Each change has a number, so that entry nodes need only the changes since
+ * their last pull.
+ *
+ * <p>Invariant: the change number grows with each change, and removed endpoints keep an entry. Not thread safe; {@link
+ * LeaderTerm} guards it.
+ */
+final class RoutableEndpointTable {
+    /** Shift of the end of a cold start up to which an endpoint counts as unchanged. */
+    private static final long COLD_START_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+
+    /** A routable endpoint and the model that it serves; only the head of a group has a model. */
+    record RoutableEndpoint(VmRecord vm, Optional<ModelVersionName> model, double paceFactor, boolean suspect) {}
+
+    private record Entry(Optional<RoutableEndpoint> endpoint, long changeNumber) {}
+
+    private final Map<VmName, Entry> entries = new HashMap<>();
+    private long changeNumber;
+
+    /** Replaces the endpoints and returns the number of changes. */
+    int replace(Map<VmName, RoutableEndpoint> endpoints) {
+        final long changeNumberBefore = changeNumber;
+        endpoints.forEach((vm, endpoint) -> {
+            final Optional<RoutableEndpoint> previous =
+                    Optional.ofNullable(entries.get(vm)).flatMap(Entry::endpoint);
+            if (previous.filter(old -> isUnchanged(old, endpoint)).isEmpty()) {
+                entries.put(vm, new Entry(Optional.of(endpoint), ++changeNumber));
+            }
+        });
+        for (final Map.Entry<VmName, Entry> entry : ImmutableMap.copyOf(entries).entrySet()) {
+            if (entry.getValue().endpoint().isPresent() && !endpoints.containsKey(entry.getKey())) {
+                entries.put(entry.getKey(), new Entry(Optional.empty(), ++changeNumber));
+            }
+        }
+        return (int) (changeNumber - changeNumberBefore);
+    }
+
+    /** Writes the changes after {@code sinceNumber}, or all entries if {@code complete}. */
+    void writeChanges(PullReply reply, long sinceNumber, boolean complete, long nowNanos) {
+        reply.setComplete(complete).setChangeNumber(changeNumber);
+        entries.forEach((vm, entry) -> {
+            if (!complete && entry.changeNumber() <= sinceNumber) {
+                return;
+            }
+            if (entry.endpoint().isPresent()) {
+                reply.addToChanged(encode(entry.endpoint().get(), nowNanos));
+            } else {
+                reply.addToRemoved(vm.value());
+            }
+        });
+    }
+
+    private static boolean isUnchanged(RoutableEndpoint old, RoutableEndpoint updated) {
+        final long coldChangeNanos =
+                Math.abs(old.vm().coldUntilNanos() - updated.vm().coldUntilNanos());
+        final boolean bothWarm =
+                old.vm().heartbeat().coldForMs() == 0 && updated.vm().heartbeat().coldForMs() == 0;
+        return old.vm().vm().equals(updated.vm().vm())
+                && old.model().equals(updated.model())
+                && old.suspect() == updated.suspect()
+                && old.vm().heartbeat().address().equals(updated.vm().heartbeat().address())
+                && old.vm().heartbeat().service().equals(updated.vm().heartbeat().service())
+                && (bothWarm || coldChangeNanos <= COLD_START_TOLERANCE_NANOS);
+    }
+
+    private static RoutableRecord encode(RoutableEndpoint endpoint, long nowNanos) {
+        final VmRecord vm = endpoint.vm();
+        return new RoutableRecord()
+                .setVm(vm.vm().vm().value())
+                .setIncarnation(vm.vm().incarnation())
+                .setServiceName(vm.heartbeat().service().value())
+                .setAddress(vm.heartbeat().address())
+                .setAvailabilityZone(vm.heartbeat().zone().value())
+                .setModel(endpoint.model().map(ModelVersionName::value).orElse(""))
+                .setSlots(vm.heartbeat().slots())
+                .setPaceFactor(endpoint.paceFactor())
+                .setSuspect(endpoint.suspect())
+                .setColdForMs(Math.max(0, TimeUnit.NANOSECONDS.toMillis(vm.coldUntilNanos() - nowNanos)));
+    }
+}
--- a/src/main/java/org/wigeongrade/fleet/control/package-info.java
+++ b/src/main/java/org/wigeongrade/fleet/control/package-info.java
@@ -1,2 +1,2 @@
-/** The control role: keeps what operators publish, hears endpoint VMs, forms groups and answers entry nodes. */
+/** The control role: stores published configurations, receives heartbeats, forms groups and answers entry nodes. */
 package org.wigeongrade.fleet.control;
--- a/src/main/java/org/wigeongrade/platform/CallerMessages.java
+++ b/src/main/java/org/wigeongrade/platform/CallerMessages.java
@@ -32,17 +32,17 @@
 import org.wigeongrade.fleet.net.HttpReply;
 import org.wigeongrade.ids.VmName;
 
-/** Messages of callers and endpoints on the platform's wire. Stateless; safe for use from any thread. */
+/** Encodes and decodes the platform's messages with callers and endpoints. Stateless; safe for use from any thread. */
 public final class CallerMessages implements CallerCodec {
     private static final String READINESS_PATH = "/-/readyz";
     private static final int MS_PER_S = 1_000;
-    /** An answer that names no idle time comes from an endpoint that keeps connections for less than a second. */
-    private static final long UNSTATED_IDLE_MS = 250;
-    /** Taken off a stated idle time, so that a request does not meet the endpoint's close on its way. */
+    /** Idle timeout if the answer states none: such endpoints keep connections for less than a second. */
+    private static final long DEFAULT_IDLE_MS = 250;
+    /** Subtracted from a stated idle timeout, so that a request does not cross the endpoint's close on the network. */
     private static final long IDLE_MARGIN_MS = 500;
 
-    /** Headers that concern one connection only, and the framing that each connection has of its own. */
-    private static final ImmutableSet<String> ONE_CONNECTION = ImmutableSet.of(
+    /** Hop-by-hop headers, and the framing headers that each connection sets for itself. */
+    private static final ImmutableSet<String> HOP_BY_HOP_HEADERS = ImmutableSet.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -53,7 +53,7 @@
             "expect",
             "content-length");
 
-    private static final ImmutableSet<String> SET_BY_THIS_SYSTEM = ImmutableSet.of(
+    private static final ImmutableSet<String> SYSTEM_HEADERS = ImmutableSet.of(
             WireHeaders.KEY, WireHeaders.ORGANISATION, WireHeaders.EXPECTED_VM, WireHeaders.DEADLINE_MS);
 
     @Override
@@ -67,7 +67,7 @@
         if (request.decoderResult().isFailure()) {
             throw new WigeongradeException(
                     ErrorKind.MALFORMED_REQUEST,
-                    "the request cannot be read: " + request.decoderResult().cause());
+                    "the request cannot be parsed: " + request.decoderResult().cause());
         }
         final int query = request.uri().indexOf('?');
         final byte[] body = new byte[request.content().readableBytes()];
@@ -83,7 +83,7 @@
                 text(headers, WireHeaders.MODEL),
                 promptTokens(headers),
                 number(headers, WireHeaders.LAST_EVENT_ID),
-                without(headers, SET_BY_THIS_SYSTEM),
+                endToEndHeaders(headers, SYSTEM_HEADERS),
                 Bytes.wrap(body));
     }
 
@@ -112,12 +112,12 @@
         return new AnswerHead(
                 status,
                 text(headers, WireHeaders.ATTEMPT_ID),
-                headers.contains(WireHeaders.NOT_RUN) || status == ErrorStatus.MISDIRECTED,
+                headers.contains(WireHeaders.NOT_RUN) || status == PlatformStatus.MISDIRECTED,
                 headers.contains(WireHeaders.SIGNATURE),
                 headers.contains(HttpHeaderNames.CONTENT_ENCODING),
                 faultyVm(headers),
                 reusableForMs(response),
-                without(headers, ImmutableSet.of()));
+                endToEndHeaders(headers, ImmutableSet.of()));
     }
 
     @Override
@@ -131,8 +131,8 @@
                 : reply;
     }
 
-    /** Statuses that mean the same on the platform whatever else an answer holds. */
-    private static final class ErrorStatus {
+    /** Statuses that have a fixed meaning on the platform, whatever else the answer contains. */
+    private static final class PlatformStatus {
         static final int MISDIRECTED = 421;
     }
 
@@ -169,28 +169,28 @@
         if (!HttpUtil.isKeepAlive(response)) {
             return OptionalLong.empty();
         }
-        final Optional<Integer> statedS = text(response.headers(), "keep-alive")
+        final Optional<Integer> idleTimeoutS = text(response.headers(), "keep-alive")
                 .flatMap(value -> Splitter.on(',').trimResults().splitToList(value).stream()
-                        .filter(part -> part.startsWith("timeout="))
+                        .filter(parameter -> parameter.startsWith("timeout="))
                         .findFirst())
-                .map(part -> Ints.tryParse(part.substring("timeout=".length())));
+                .map(parameter -> Ints.tryParse(parameter.substring("timeout=".length())));
         final long idleMs =
-                statedS.map(seconds -> seconds * MS_PER_S - IDLE_MARGIN_MS).orElse(UNSTATED_IDLE_MS);
+                idleTimeoutS.map(seconds -> seconds * MS_PER_S - IDLE_MARGIN_MS).orElse(DEFAULT_IDLE_MS);
         return idleMs > 0 ? OptionalLong.of(idleMs) : OptionalLong.empty();
     }
 
-    private static HttpHeaders without(HttpHeaders headers, Set<String> more) {
-        final Set<String> named = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
+    private static HttpHeaders endToEndHeaders(HttpHeaders headers, Set<String> excluded) {
+        final Set<String> dropped = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
         headers.getAll(HttpHeaderNames.CONNECTION)
-                .forEach(value -> named.addAll(Splitter.on(',').trimResults().splitToList(value)));
-        named.addAll(ONE_CONNECTION);
-        named.addAll(more);
-        final HttpHeaders rest = new DefaultHttpHeaders(false);
+                .forEach(value -> dropped.addAll(Splitter.on(',').trimResults().splitToList(value)));
+        dropped.addAll(HOP_BY_HOP_HEADERS);
+        dropped.addAll(excluded);
+        final HttpHeaders kept = new DefaultHttpHeaders(false);
         for (final Map.Entry<String, String> header : headers) {
-            if (!named.contains(header.getKey())) {
-                rest.add(header.getKey(), header.getValue());
+            if (!dropped.contains(header.getKey())) {
+                kept.add(header.getKey(), header.getValue());
             }
         }
-        return rest;
+        return kept;
     }
 }
--- a/src/main/java/org/wigeongrade/platform/ConfigurationReader.java
+++ b/src/main/java/org/wigeongrade/platform/ConfigurationReader.java
@@ -21,7 +21,7 @@
 import org.wigeongrade.ids.RouteName;
 import org.wigeongrade.ids.ServiceName;
 
-/** Reads the platform's configuration document. Stateless; safe for use from any thread. */
+/** Parses the platform's configuration document. Stateless; safe for use from any thread. */
 public final class ConfigurationReader implements DocumentReader {
     private static final int MS_PER_S = 1_000;
     private static final int DEFAULT_PRIORITY = 1;
@@ -55,13 +55,13 @@
 
     private static Route route(WireJson json) {
         return new Route(
-                RouteName.of(json.text("name")),
-                json.text("hostname"),
-                json.text("pathPrefix"),
-                kind(json.text("kind")),
+                RouteName.of(json.string("name")),
+                json.string("hostname"),
+                json.string("pathPrefix"),
+                kind(json.string("kind")),
                 json.integer("timeoutMs"),
                 Math.round(json.number("targetLatencyMs", 0)),
-                // The platform's name for the pause is that of a token gap; it bounds the gap of two events.
+                // The platform's name means inter-token latency (ITL), but the value bounds the pause between two events.
                 Math.round(json.number("targetItlMs", 0)),
                 (int) json.number("priority", DEFAULT_PRIORITY),
                 targets(json),
@@ -77,22 +77,22 @@
             case "streaming" -> RouteKind.STREAMING;
             default ->
                 throw new WigeongradeException(
-                        ErrorKind.INVALID_CONFIGURATION, "route kind '" + text + "' is not known");
+                        ErrorKind.INVALID_CONFIGURATION, "unknown route kind '" + text + "'");
         };
     }
 
     private static List<WeightedTarget> targets(WireJson json) {
         if (!json.has("trafficSplit")) {
-            return ImmutableList.of(new WeightedTarget(ServiceName.of(json.text("service")), 1));
+            return ImmutableList.of(new WeightedTarget(ServiceName.of(json.string("service")), 1));
         }
         return json.objects("trafficSplit").stream()
-                .map(part -> new WeightedTarget(ServiceName.of(part.text("service")), part.number("weight")))
+                .map(share -> new WeightedTarget(ServiceName.of(share.string("service")), share.number("weight")))
                 .toList();
     }
 
     private static PublishedService service(WireJson json) {
         return new PublishedService(
-                ServiceName.of(json.text("name")),
+                ServiceName.of(json.string("name")),
                 (int) json.number("maxConnections", Integer.MAX_VALUE),
                 json.number("coldRateS", 0),
                 json.object("engine").map(ConfigurationReader::engine));
@@ -117,7 +117,7 @@
 
     private static GroupedModel model(WireJson json) {
         return new GroupedModel(
-                ModelVersionName.of(json.text("name")),
+                ModelVersionName.of(json.string("name")),
                 Math.max(1, (int) json.number("size", 1)),
                 json.number("share", 1),
                 json.number("pace", 1),
@@ -137,7 +137,7 @@
         return Optional.of(json).filter(document -> document.has("tenants")).stream()
                 .flatMap(document -> document.objects("tenants").stream())
                 .map(tenant -> new PublishedOrganisation(
-                        OrganisationName.of(tenant.text("name")), ImmutableSet.copyOf(tenant.texts("apiKeys"))))
+                        OrganisationName.of(tenant.string("name")), ImmutableSet.copyOf(tenant.strings("apiKeys"))))
                 .toList();
     }
 }
--- a/src/main/java/org/wigeongrade/platform/ControlApi.java
+++ b/src/main/java/org/wigeongrade/platform/ControlApi.java
@@ -10,14 +10,14 @@
 import java.util.function.Function;
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
-import org.wigeongrade.fleet.control.ControlDesk;
-import org.wigeongrade.fleet.control.DeskAnswer;
+import org.wigeongrade.fleet.control.ControlRequestHandler;
+import org.wigeongrade.fleet.control.ControlResponse;
 import org.wigeongrade.fleet.net.CallServer;
 import org.wigeongrade.fleet.net.HttpReply;
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.ids.VmName;
 
-/** The calls of endpoint VMs and operators. Stateless; safe for use from any thread. */
+/** The platform's HTTP API for endpoint VMs and operators. Stateless; safe for use from any thread. */
 public final class ControlApi implements Function<CallServer.Call, CompletableFuture<HttpReply>> {
     private static final System.Logger LOGGER = System.getLogger(ControlApi.class.getName());
     private static final int OK = 200;
@@ -26,93 +26,93 @@
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
     private static final int UNAVAILABLE = 503;
-    private static final int WORDS_OF_VM_OR_ZONE_CALL = 4;
+    private static final int NAMED_CALL_SEGMENTS = 4;
 
-    private final ControlDesk desk;
+    private final ControlRequestHandler handler;
 
-    public ControlApi(ControlDesk desk) {
-        this.desk = desk;
+    public ControlApi(ControlRequestHandler handler) {
+        this.handler = handler;
     }
 
     @Override
     public CompletableFuture<HttpReply> apply(CallServer.Call call) {
         try {
-            return answer(call);
+            return handle(call);
         } catch (WigeongradeException e) {
             if (e.kind() != ErrorKind.INVALID_CONFIGURATION) {
                 throw e;
             }
-            LOGGER.log(Level.WARNING, "call {0} refused: {1}", call.path(), e.getMessage());
-            return done(new DeskAnswer.Invalid(List.of(e.getMessage())), call.path());
+            LOGGER.log(Level.WARNING, "rejected call {0}: {1}", call.path(), e.getMessage());
+            return completed(new ControlResponse.Invalid(List.of(e.getMessage())), call.path());
         } catch (IllegalArgumentException e) {
-            LOGGER.log(Level.WARNING, "call {0} refused: {1}", call.path(), e.getMessage());
-            return done(new DeskAnswer.Invalid(List.of(e.getMessage())), call.path());
+            LOGGER.log(Level.WARNING, "rejected call {0}: {1}", call.path(), e.getMessage());
+            return completed(new ControlResponse.Invalid(List.of(e.getMessage())), call.path());
         }
     }
 
-    private CompletableFuture<HttpReply> answer(CallServer.Call call) {
-        final String place = call.method() + " " + call.path();
-        if (place.equals("POST /-/configuration/replace")) {
-            return desk.publish(call.body().array()).thenApply(answer -> reply(answer, call.path()));
+    private CompletableFuture<HttpReply> handle(CallServer.Call call) {
+        final String methodAndPath = call.method() + " " + call.path();
+        if (methodAndPath.equals("POST /-/configuration/replace")) {
+            return handler.publish(call.body().array()).thenApply(response -> toHttpReply(response, call.path()));
         }
-        if (place.equals("GET /-/configuration/read")) {
-            return done(desk.read(), call.path());
+        if (methodAndPath.equals("GET /-/configuration/read")) {
+            return completed(handler.readConfiguration(), call.path());
         }
-        final List<String> words = Splitter.on('/').omitEmptyStrings().splitToList(call.path());
-        if (!call.method().equals("POST") || words.size() != WORDS_OF_VM_OR_ZONE_CALL) {
-            return CompletableFuture.completedFuture(HttpReply.text(NOT_FOUND, "no such call\n"));
+        final List<String> segments = Splitter.on('/').omitEmptyStrings().splitToList(call.path());
+        if (!call.method().equals("POST") || segments.size() != NAMED_CALL_SEGMENTS) {
+            return CompletableFuture.completedFuture(HttpReply.text(NOT_FOUND, "unknown method or path\n"));
         }
-        return answerNamed(words.get(1) + " " + words.get(3), words.get(2), call);
+        return handleNamedCall(segments.get(1) + " " + segments.get(3), segments.get(2), call);
     }
 
-    private CompletableFuture<HttpReply> answerNamed(String what, String name, CallServer.Call call) {
-        return switch (what) {
+    private CompletableFuture<HttpReply> handleNamedCall(String resourceAndAction, String name, CallServer.Call call) {
+        return switch (resourceAndAction) {
             case "instances heartbeat" ->
-                done(desk.hear(HeartbeatReader.read(name, call.body().array())), call.path());
-            case "instances deregister" -> done(desk.depart(VmName.of(name)), call.path());
+                completed(handler.handleHeartbeat(HeartbeatReader.read(name, call.body().array())), call.path());
+            case "instances deregister" -> completed(handler.deregister(VmName.of(name)), call.path());
             case "evacuation begin" ->
-                desk.setZone(AvailabilityZone.of(name), true).thenApply(answer -> reply(answer, call.path()));
+                handler.setZone(AvailabilityZone.of(name), true).thenApply(response -> toHttpReply(response, call.path()));
             case "evacuation finish" ->
-                desk.setZone(AvailabilityZone.of(name), false).thenApply(answer -> reply(answer, call.path()));
-            default -> CompletableFuture.completedFuture(HttpReply.text(NOT_FOUND, "no such call\n"));
+                handler.setZone(AvailabilityZone.of(name), false).thenApply(response -> toHttpReply(response, call.path()));
+            default -> CompletableFuture.completedFuture(HttpReply.text(NOT_FOUND, "unknown method or path\n"));
         };
     }
 
-    private static CompletableFuture<HttpReply> done(DeskAnswer answer, String path) {
-        return CompletableFuture.completedFuture(reply(answer, path));
+    private static CompletableFuture<HttpReply> completed(ControlResponse response, String path) {
+        return CompletableFuture.completedFuture(toHttpReply(response, path));
     }
 
-    private static HttpReply reply(DeskAnswer answer, String path) {
-        if (answer instanceof DeskAnswer.Heard heard) {
+    private static HttpReply toHttpReply(ControlResponse response, String path) {
+        if (response instanceof ControlResponse.HeartbeatAccepted accepted) {
             return HttpReply.json(
                     OK,
-                    WireJson.write(heard.leader()
-                            .map(leader -> ImmutableMap.of("heartbeatAddress", text(leader)))
+                    WireJson.write(accepted.leader()
+                            .map(leader -> ImmutableMap.of("heartbeatAddress", hostAndPort(leader)))
                             .orElse(ImmutableMap.of())));
         }
-        if (answer instanceof DeskAnswer.Document document) {
+        if (response instanceof ControlResponse.Document document) {
             return HttpReply.json(OK, document.document().array());
         }
-        if (answer instanceof DeskAnswer.Invalid invalid) {
-            return HttpReply.text(BAD_REQUEST, String.join("\n", invalid.faults()) + "\n");
+        if (response instanceof ControlResponse.Invalid invalid) {
+            return HttpReply.text(BAD_REQUEST, String.join("\n", invalid.errors()) + "\n");
         }
-        if (answer instanceof DeskAnswer.Conflict conflict) {
+        if (response instanceof ControlResponse.Conflict conflict) {
             return HttpReply.text(CONFLICT, conflict.message() + "\n");
         }
-        if (answer instanceof DeskAnswer.Elsewhere elsewhere) {
-            return HttpReply.text(TEMPORARY_REDIRECT, "the leader answers this\n")
-                    .with("location", "http://" + text(elsewhere.leader()) + path);
+        if (response instanceof ControlResponse.RedirectToLeader redirect) {
+            return HttpReply.text(TEMPORARY_REDIRECT, "only the leader answers this call\n")
+                    .with("location", "http://" + hostAndPort(redirect.leader()) + path);
         }
-        if (answer instanceof DeskAnswer.Unavailable unavailable) {
+        if (response instanceof ControlResponse.Unavailable unavailable) {
             return HttpReply.text(UNAVAILABLE, unavailable.message() + "\n");
         }
-        if (answer instanceof DeskAnswer.Nothing) {
-            return HttpReply.text(NOT_FOUND, "nothing was published yet\n");
+        if (response instanceof ControlResponse.NotPublished) {
+            return HttpReply.text(NOT_FOUND, "no configuration has been published yet\n");
         }
         return HttpReply.json(OK, WireJson.write(ImmutableMap.of()));
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return HostAndPort.fromParts(address.getAddress().getHostAddress(), address.getPort())
                 .toString();
     }
--- a/src/main/java/org/wigeongrade/platform/HeartbeatReader.java
+++ b/src/main/java/org/wigeongrade/platform/HeartbeatReader.java
@@ -20,11 +20,11 @@
 import org.wigeongrade.ids.VmName;
 import org.wigeongrade.settings.NodeAddress;
 
-/** Reads heartbeats of endpoint VMs. Stateless; safe for use from any thread. */
+/** Parses heartbeats of endpoint VMs. Stateless; safe for use from any thread. */
 final class HeartbeatReader {
     private HeartbeatReader() {}
 
-    /** Reads a heartbeat; throws with kind INVALID_CONFIGURATION if a field is missing or of another type. */
+    /** Parses a heartbeat; throws with kind INVALID_CONFIGURATION if a field is missing or has the wrong type. */
     static VmHeartbeat read(String vm, byte[] body) {
         try {
             return read(vm, WireJson.parse(body));
@@ -35,18 +35,18 @@
 
     private static VmHeartbeat read(String vm, WireJson json) {
         return new VmHeartbeat(
-                // "born" is the time of the process's start, which tells incarnations of one id apart.
+                // "born" is the start time of the process, which distinguishes incarnations of one VM id.
                 new VmIncarnation(VmName.of(vm), json.integer("born")),
                 json.integer("sequence"),
-                ServiceName.of(json.text("service")),
-                NodeAddress.of(json.text("address")).toString(),
-                AvailabilityZone.of(json.text("zone")),
-                // "version" is that of the VM's software here, not of a configuration or model.
-                json.optionalLabel("version").orElse(""),
+                ServiceName.of(json.string("service")),
+                NodeAddress.of(json.string("address")).toString(),
+                AvailabilityZone.of(json.string("zone")),
+                // "version" is the version of the VM's software here, not of a configuration or model.
+                json.optionalStringOrNumber("version").orElse(""),
                 json.smallInteger("slots"),
-                isDraining(json.text("state")),
+                isDraining(json.string("state")),
                 Math.round(json.number("coldRemainingMs", 0)),
-                json.optionalLabel("domain").map(FabricDomain::of),
+                json.optionalStringOrNumber("domain").map(FabricDomain::of),
                 models(json, "staged"),
                 models(json, "models").stream().findFirst(),
                 group(json));
@@ -57,7 +57,7 @@
             case "ready" -> false;
             case "draining" -> true;
             default ->
-                throw new WigeongradeException(ErrorKind.INVALID_CONFIGURATION, "state '" + state + "' is not known");
+                throw new WigeongradeException(ErrorKind.INVALID_CONFIGURATION, "unknown state '" + state + "'");
         };
     }
 
@@ -68,21 +68,21 @@
         return names(json, field).stream().map(ModelVersionName::of).collect(ImmutableSet.toImmutableSet());
     }
 
-    /** Models are listed by name, or as objects that hold a name. */
+    /** Returns the names of models that are listed as strings or as objects with a name. */
     private static List<String> names(WireJson json, String field) {
-        return json.isArrayOfTexts(field)
-                ? json.texts(field)
+        return json.isArrayOfStrings(field)
+                ? json.strings(field)
                 : json.objects(field).stream()
-                        .map(model -> model.text("name"))
+                        .map(model -> model.string("name"))
                         .collect(ImmutableList.toImmutableList());
     }
 
     private static Optional<GroupReport> group(WireJson json) {
         return json.object("group")
                 .map(group -> new GroupReport(
-                        GroupName.of(group.text("name")),
+                        GroupName.of(group.string("name")),
                         group.integer("epoch"),
                         group.smallInteger("rank"),
-                        GroupState.valueOf(group.text("state").toUpperCase(Locale.ROOT))));
+                        GroupState.valueOf(group.string("state").toUpperCase(Locale.ROOT))));
     }
 }
--- a/src/main/java/org/wigeongrade/platform/OrderWriter.java
+++ b/src/main/java/org/wigeongrade/platform/OrderWriter.java
@@ -14,7 +14,7 @@
 import org.wigeongrade.fleet.net.OneCall;
 import org.wigeongrade.ids.VmName;
 
-/** Writes orders to engine VMs and reads their answers. Stateless; safe for use from any thread. */
+/** Encodes orders to engine VMs and decodes their answers. Stateless; safe for use from any thread. */
 public final class OrderWriter implements OrderCodec {
     private static final String ORDER_PATH = "/-/order";
     private static final String REPORT_PATH = "/-/report";
@@ -80,9 +80,9 @@
             case OPEN -> "open";
             case CLOSE_WHEN_DONE, CLOSE_NOW -> "close";
             case LEAVE -> "leave";
-            // The wire's name for loading weights onto the host.
+            // The platform's name for loading weights onto the host.
             case STAGE -> "phase";
-            case PROBE -> throw new IllegalArgumentException("a probe is no order");
+            case PROBE -> throw new IllegalArgumentException("a probe has no operation");
         };
     }
 }
--- a/src/main/java/org/wigeongrade/platform/WireHeaders.java
+++ b/src/main/java/org/wigeongrade/platform/WireHeaders.java
@@ -1,20 +1,20 @@
 package org.wigeongrade.platform;
 
-/** Names of the platform's headers. Stateless. */
+/** Names of the platform's HTTP headers. Stateless. */
 final class WireHeaders {
-    /** Id that a client gives each of its attempts; echoed by endpoints. */
+    /** Id that the client chooses for each attempt and endpoints echo. */
     static final String ATTEMPT_ID = "x-attempt-id";
 
-    /** Remaining time that the sender waits, in milliseconds. */
+    /** How long the sender will still wait, in milliseconds. */
     static final String DEADLINE_MS = "x-deadline-ms";
 
-    /** Key of an organisation; never passed on. */
+    /** API key of an organisation; never forwarded. */
     static final String KEY = "x-credential";
 
-    /** Organisation that holds the key; set by this system only. */
+    /** Organisation that owns the API key; set only by this system. */
     static final String ORGANISATION = "x-tenant";
 
-    /** VM that alone may run the request. */
+    /** The only VM that may run the request. */
     static final String EXPECTED_VM = "x-expect-instance";
 
     /** Signature of an endpoint's answer. */
@@ -23,18 +23,18 @@
     /** Present if the endpoint did not run the request. */
     static final String NOT_RUN = "x-not-executed";
 
-    /** VM that a refusal blames. */
+    /** VM that an endpoint names as the cause of its refusal. */
     static final String FAULTY_VM = "at-server";
 
     static final String MODEL = "x-model";
 
-    /** Prompt tokens and largest number of answer tokens, separated by a comma. */
+    /** Number of prompt tokens and maximum number of answer tokens, separated by a comma. */
     static final String TOKENS = "x-token-count";
 
-    /** Estimate of the answer's tokens. */
+    /** Estimated number of answer tokens. */
     static final String ANSWER_ESTIMATE = "x-length-hint";
 
-    /** Last event of a stream that the client has. */
+    /** Id of the last stream event that the client received. */
     static final String LAST_EVENT_ID = "last-event-id";
 
     private WireHeaders() {}
--- a/src/main/java/org/wigeongrade/platform/WireJson.java
+++ b/src/main/java/org/wigeongrade/platform/WireJson.java
@@ -14,8 +14,8 @@
 import org.wigeongrade.errors.WigeongradeException;
 
 /**
- * One JSON object of the platform's wire, read strictly: a field that is missing or of another type is an error that
- * names it. Immutable; safe for use from any thread.
+ * A JSON object of the platform's wire format, parsed strictly: a field that is missing or has the wrong type is an error
+ * that names it. Immutable; safe for use from any thread.
  */
 final class WireJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -23,15 +23,15 @@
             .with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .with(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY);
 
-    private final String place;
+    private final String path;
     private final JsonNode object;
 
-    private WireJson(String place, JsonNode object) {
-        this.place = place;
+    private WireJson(String path, JsonNode object) {
+        this.path = path;
         this.object = object;
     }
 
-    /** Reads a whole document; throws with kind INVALID_CONFIGURATION if it is not one JSON object. */
+    /** Parses a document; throws with kind INVALID_CONFIGURATION if it is not exactly one JSON object. */
     static WireJson parse(byte[] bytes) {
         try {
             return of("document", READER.readTree(bytes));
@@ -45,7 +45,7 @@
         try {
             return MAPPER.writeValueAsBytes(fields);
         } catch (JsonProcessingException e) {
-            throw new WigeongradeException(ErrorKind.INTERNAL, "message cannot be written: " + e.getMessage(), e);
+            throw new WigeongradeException(ErrorKind.INTERNAL, "the message cannot be serialized: " + e.getMessage(), e);
         }
     }
 
@@ -53,20 +53,20 @@
         return object.hasNonNull(field);
     }
 
-    String text(String field) {
+    String string(String field) {
         final JsonNode value = object.path(field);
         if (!value.isTextual() || value.textValue().isEmpty()) {
-            throw wrong(field, "a text");
+            throw wrongType(field, "a non-empty string");
         }
         return value.textValue();
     }
 
-    Optional<String> optionalText(String field) {
-        return has(field) ? Optional.of(text(field)) : Optional.empty();
+    Optional<String> optionalString(String field) {
+        return has(field) ? Optional.of(string(field)) : Optional.empty();
     }
 
-    /** Returns a name that may be written as a text or as a number. */
-    Optional<String> optionalLabel(String field) {
+    /** Returns a field that may be a string or a number, as a string. */
+    Optional<String> optionalStringOrNumber(String field) {
         final JsonNode value = object.path(field);
         return value.isValueNode() && has(field) ? Optional.of(value.asText()) : Optional.empty();
     }
@@ -74,7 +74,7 @@
     long integer(String field) {
         final JsonNode value = object.path(field);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
-            throw wrong(field, "a whole number");
+            throw wrongType(field, "an integer");
         }
         return value.longValue();
     }
@@ -82,7 +82,7 @@
     int smallInteger(String field) {
         final long value = integer(field);
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw wrong(field, "a whole number from 0 to " + Integer.MAX_VALUE);
+            throw wrongType(field, "an integer from 0 to " + Integer.MAX_VALUE);
         }
         return (int) value;
     }
@@ -90,69 +90,69 @@
     double number(String field) {
         final JsonNode value = object.path(field);
         if (!value.isNumber()) {
-            throw wrong(field, "a number");
+            throw wrongType(field, "a number");
         }
         return value.doubleValue();
     }
 
-    double number(String field, double absent) {
-        return has(field) ? number(field) : absent;
+    double number(String field, double defaultValue) {
+        return has(field) ? number(field) : defaultValue;
     }
 
-    boolean bool(String field, boolean absent) {
+    boolean bool(String field, boolean defaultValue) {
         if (!has(field)) {
-            return absent;
+            return defaultValue;
         }
         if (!object.path(field).isBoolean()) {
-            throw wrong(field, "true or false");
+            throw wrongType(field, "true or false");
         }
         return object.path(field).booleanValue();
     }
 
     Optional<WireJson> object(String field) {
-        return has(field) ? Optional.of(of(place + "." + field, object.path(field))) : Optional.empty();
+        return has(field) ? Optional.of(of(path + "." + field, object.path(field))) : Optional.empty();
     }
 
     List<WireJson> objects(String field) {
-        final ImmutableList.Builder<WireJson> found = ImmutableList.builder();
+        final ImmutableList.Builder<WireJson> elements = ImmutableList.builder();
         int index = 0;
         for (final JsonNode element : array(field)) {
-            found.add(of(place + "." + field + "[" + index++ + "]", element));
+            elements.add(of(path + "." + field + "[" + index++ + "]", element));
         }
-        return found.build();
+        return elements.build();
     }
 
-    List<String> texts(String field) {
-        final ImmutableList.Builder<String> found = ImmutableList.builder();
+    List<String> strings(String field) {
+        final ImmutableList.Builder<String> elements = ImmutableList.builder();
         for (final JsonNode element : array(field)) {
             if (!element.isTextual()) {
-                throw wrong(field, "an array of texts");
+                throw wrongType(field, "an array of strings");
             }
-            found.add(element.textValue());
+            elements.add(element.textValue());
         }
-        return found.build();
+        return elements.build();
     }
 
-    boolean isArrayOfTexts(String field) {
+    boolean isArrayOfStrings(String field) {
         return array(field).path(0).isTextual();
     }
 
     private JsonNode array(String field) {
         final JsonNode value = object.path(field);
         if (!value.isArray()) {
-            throw wrong(field, "an array");
+            throw wrongType(field, "an array");
         }
         return value;
     }
 
-    private static WireJson of(String place, JsonNode node) {
+    private static WireJson of(String path, JsonNode node) {
         if (node == null || !node.isObject()) {
-            throw new WigeongradeException(ErrorKind.INVALID_CONFIGURATION, place + " must be an object");
+            throw new WigeongradeException(ErrorKind.INVALID_CONFIGURATION, path + " must be an object");
         }
-        return new WireJson(place, node);
+        return new WireJson(path, node);
     }
 
-    private WigeongradeException wrong(String field, String expected) {
-        return new WigeongradeException(ErrorKind.INVALID_CONFIGURATION, place + "." + field + " must be " + expected);
+    private WigeongradeException wrongType(String field, String expected) {
+        return new WigeongradeException(ErrorKind.INVALID_CONFIGURATION, path + "." + field + " must be " + expected);
     }
 }
--- a/src/main/java/org/wigeongrade/platform/package-info.java
+++ b/src/main/java/org/wigeongrade/platform/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Translates between the users' platform and the ports of this system. Nothing is decided or kept here, and no name of
- * the platform's wire stands anywhere else but in {@code deploy/}.
+ * Adapters between the users' platform and the interfaces of this system. This package makes no decisions and keeps no
+ * state. Names of the platform's wire format occur only here and in {@code deploy/}.
  */
 package org.wigeongrade.platform;
--- a/src/test/java/org/wigeongrade/platform/CallerMessagesTest.java
+++ b/src/test/java/org/wigeongrade/platform/CallerMessagesTest.java
@@ -30,26 +30,26 @@
     private final CallerMessages messages = new CallerMessages();
 
     @Test
-    void passesRequestOnUnchangedButForWhatConcernsThisSystem() {
+    void forwardsRequestWithOnlySystemHeadersChanged() {
         final CallerRequest request = messages.decode(message());
-        final FullHttpRequest passedOn = messages.encode(request, TERMS, "10.0.0.1:80");
+        final FullHttpRequest forwarded = messages.encode(request, TERMS, "10.0.0.1:80");
 
-        assertThat(passedOn.method()).isEqualTo(HttpMethod.POST);
-        assertThat(passedOn.uri()).isEqualTo("/chat/1?q=%20x");
-        assertThat(passedOn.content().toString(StandardCharsets.UTF_8)).isEqualTo("body");
-        assertThat(passedOn.headers().get("X-Attempt-Id")).isEqualTo("a1");
-        assertThat(passedOn.headers().get("X-Model")).isEqualTo("m0");
-        assertThat(passedOn.headers().get("X-Deadline-Ms")).isEqualTo("750");
-        assertThat(passedOn.headers().getAll("X-Tenant")).containsExactly("shop");
-        assertThat(passedOn.headers().getAll("X-Expect-Instance")).containsExactly("i-1");
-        assertThat(passedOn.headers().contains("X-Credential")).isFalse();
-        assertThat(passedOn.headers().contains("X-Secret")).isFalse();
-        assertThat(passedOn.headers().contains("Transfer-Encoding")).isFalse();
-        assertThat(passedOn.headers().get("Content-Length")).isEqualTo("4");
+        assertThat(forwarded.method()).isEqualTo(HttpMethod.POST);
+        assertThat(forwarded.uri()).isEqualTo("/chat/1?q=%20x");
+        assertThat(forwarded.content().toString(StandardCharsets.UTF_8)).isEqualTo("body");
+        assertThat(forwarded.headers().get("X-Attempt-Id")).isEqualTo("a1");
+        assertThat(forwarded.headers().get("X-Model")).isEqualTo("m0");
+        assertThat(forwarded.headers().get("X-Deadline-Ms")).isEqualTo("750");
+        assertThat(forwarded.headers().getAll("X-Tenant")).containsExactly("shop");
+        assertThat(forwarded.headers().getAll("X-Expect-Instance")).containsExactly("i-1");
+        assertThat(forwarded.headers().contains("X-Credential")).isFalse();
+        assertThat(forwarded.headers().contains("X-Secret")).isFalse();
+        assertThat(forwarded.headers().contains("Transfer-Encoding")).isFalse();
+        assertThat(forwarded.headers().get("Content-Length")).isEqualTo("4");
     }
 
     @Test
-    void decodesWhatDecides() {
+    void decodesRequestFields() {
         final CallerRequest request = messages.decode(message());
 
         assertThat(request.hostname()).isEqualTo("desk.example");
@@ -60,12 +60,12 @@
     }
 
     @Test
-    void resumedStreamNamesTheLastEventThatWasPassedOn() {
+    void resumedRequestCarriesLastForwardedEventId() {
         final SendTerms resumed = new SendTerms(750, VmName.of("i-1"), Optional.empty(), OptionalLong.of(7));
-        final FullHttpRequest passedOn = messages.encode(messages.decode(message()), resumed, "10.0.0.1:80");
+        final FullHttpRequest forwarded = messages.encode(messages.decode(message()), resumed, "10.0.0.1:80");
 
-        assertThat(passedOn.headers().getAll("Last-Event-Id")).containsExactly("7");
-        assertThat(passedOn.headers().contains("X-Tenant")).isFalse();
+        assertThat(forwarded.headers().getAll("Last-Event-Id")).containsExactly("7");
+        assertThat(forwarded.headers().contains("X-Tenant")).isFalse();
     }
 
     @ParameterizedTest
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void refusalTellsWhenToComeBack() {
+    void errorResponseCarriesRetryAfter() {
         final HttpReply reply = messages.error(messages.decode(message()), ErrorKind.NO_FREE_SLOT, "busy", 150);
 
         assertThat(reply.status()).isEqualTo(503);
--- a/src/test/java/org/wigeongrade/platform/ConfigurationReaderTest.java
+++ b/src/test/java/org/wigeongrade/platform/ConfigurationReaderTest.java
@@ -38,7 +38,7 @@
     private final ConfigurationReader reader = new ConfigurationReader();
 
     @Test
-    void readsEverythingThatDecides() {
+    void readsAllFieldsThatAffectRouting() {
         final PublishedConfiguration read = read(DOCUMENT);
         final Route chat = read.route("desk.example", "/chat/1").orElseThrow();
 
@@ -75,23 +75,23 @@
                 "\"weight\":10 | \"weight\":null",
             })
     void refusesWhatCannotBeReadInFull(String part, String replacement) {
-        final String broken = DOCUMENT.replace(part, replacement);
+        final String malformed = DOCUMENT.replace(part, replacement);
 
-        assertThat(broken).isNotEqualTo(DOCUMENT);
-        assertRefused(broken);
+        assertThat(malformed).isNotEqualTo(DOCUMENT);
+        assertRejected(malformed);
     }
 
     @Test
-    void refusesCutAndExtendedDocuments() {
-        assertRefused(DOCUMENT.substring(0, DOCUMENT.length() / 2));
-        assertRefused(DOCUMENT + "{}");
-        assertRefused("[]");
-        assertRefused("");
+    void rejectsTruncatedAndExtendedDocuments() {
+        assertRejected(DOCUMENT.substring(0, DOCUMENT.length() / 2));
+        assertRejected(DOCUMENT + "{}");
+        assertRejected("[]");
+        assertRejected("");
     }
 
-    private void assertRefused(String document) {
-        final WigeongradeException refusal = assertThrows(WigeongradeException.class, () -> read(document));
-        assertThat(refusal.kind()).isEqualTo(ErrorKind.INVALID_CONFIGURATION);
+    private void assertRejected(String document) {
+        final WigeongradeException error = assertThrows(WigeongradeException.class, () -> read(document));
+        assertThat(error.kind()).isEqualTo(ErrorKind.INVALID_CONFIGURATION);
     }
 
     private PublishedConfiguration read(String document) {
--- a/src/test/java/org/wigeongrade/platform/FleetOnLoopbackTest.java
+++ b/src/test/java/org/wigeongrade/platform/FleetOnLoopbackTest.java
@@ -38,11 +38,11 @@
 import org.wigeongrade.settings.FleetSettings;
 import org.wigeongrade.settings.NodeAddress;
 
-/** One control and one entry node over loopback, with an endpoint that speaks the platform's wire. */
+/** Tests a control node and an entry node over loopback, with an endpoint that uses the platform's wire format. */
 final class FleetOnLoopbackTest {
     private static final String CONTROL_IP = "127.0.0.1";
     private static final String ENTRY_IP = "127.0.0.2";
-    private static final long PATIENCE_MS = 20_000;
+    private static final long AWAIT_TIMEOUT_MS = 20_000;
 
     @TempDir
     private Path folder;
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void answerOfTheEndpointIsPassedOnUnchanged() {
+    void endpointAnswerIsForwardedUnchanged() {
         final HttpResponse<String> answer = call("POST", "/app/order?x=1", "key-1");
 
         assertThat(answer.statusCode()).isEqualTo(200);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void callThatIsNotIdempotentRunsOnceWhenItsAnswerIsLost() {
+    void nonIdempotentRequestRunsOnceWhenItsAnswerIsLost() {
         assertThat(call("POST", "/app/lose", "key-1").statusCode()).isEqualTo(502);
         assertThat(runs.get()).isEqualTo(1);
     }
@@ -122,20 +122,20 @@
     }
 
     @Test
-    void sameVersionWithOtherContentIsRefused() {
+    void sameVersionWithOtherContentIsRejected() {
         assertThat(publish(7, 50_000)).isEqualTo(409);
     }
 
     @Test
-    void zoneThatIsOutGetsNothing() {
+    void evacuatedZoneGetsNoRequests() {
         assertThat(post("/-/evacuation/zone-a/begin", "")).isEqualTo(200);
-        await("refused", () -> call("GET", "/app/1", "key-1").statusCode() == 503);
+        await("requests refused", () -> call("GET", "/app/1", "key-1").statusCode() == 503);
         assertThat(post("/-/evacuation/zone-a/finish", "")).isEqualTo(200);
-        await("served again", () -> call("GET", "/app/1", "key-1").statusCode() == 200);
+        await("requests served again", () -> call("GET", "/app/1", "key-1").statusCode() == 200);
     }
 
     @Test
-    void malformedHeartbeatIsRefused() {
+    void malformedHeartbeatIsRejected() {
         assertThat(post("/-/instances/i-9/heartbeat", "{\"service\":\"app\"}")).isEqualTo(400);
     }
 
@@ -215,10 +215,10 @@
         }
     }
 
-    private static void await(String what, BooleanSupplier condition) {
-        final long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+    private static void await(String expectation, BooleanSupplier condition) {
+        final long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MS);
         while (!condition.getAsBoolean()) {
-            assertWithMessage("%s within %s ms", what, PATIENCE_MS)
+            assertWithMessage("%s within %s ms", expectation, AWAIT_TIMEOUT_MS)
                     .that(System.nanoTime() - deadlineNanos)
                     .isLessThan(0);
             com.google.common.util.concurrent.Uninterruptibles.sleepUninterruptibly(50, TimeUnit.MILLISECONDS);
--- a/src/test/java/org/wigeongrade/platform/HeartbeatReaderTest.java
+++ b/src/test/java/org/wigeongrade/platform/HeartbeatReaderTest.java
@@ -23,7 +23,7 @@
             """;
 
     @Test
-    void readsAMemberOfAGroup() {
+    void readsGroupMember() {
         final VmHeartbeat read = read(HEARTBEAT);
 
         assertThat(read.vm().incarnation()).isEqualTo(1_700_000_000_123L);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void readsAPlainEndpoint() {
+    void readsPlainEndpoint() {
         final VmHeartbeat read = read("""
                 {"service":"app","address":"10.128.0.9:8080","zone":"zone-a","version":"v1","slots":6,
                  "state":"draining","coldRemainingMs":0,"sequence":4,"born":1}
@@ -60,10 +60,10 @@
                 "\"rank\":1,\"state\":\"ready\" | \"rank\":1,\"state\":\"odd\"",
             })
     void refusesFieldsThatAreMissingOrOfAnotherType(String part, String replacement) {
-        final String broken = HEARTBEAT.replace(part, replacement);
+        final String malformed = HEARTBEAT.replace(part, replacement);
 
-        assertThat(broken).isNotEqualTo(HEARTBEAT);
-        assertThrows(WigeongradeException.class, () -> read(broken));
+        assertThat(malformed).isNotEqualTo(HEARTBEAT);
+        assertThrows(WigeongradeException.class, () -> read(malformed));
     }
 
     private static VmHeartbeat read(String text) {
--- a/src/test/java/org/wigeongrade/platform/OrderWriterTest.java
+++ b/src/test/java/org/wigeongrade/platform/OrderWriterTest.java
@@ -19,7 +19,7 @@
 import org.wigeongrade.ids.VmName;
 
 final class OrderWriterTest {
-    private final OrderWriter writer = new OrderWriter();
+    private final OrderWriter codec = new OrderWriter();
 
     @ParameterizedTest
     @CsvSource(
@@ -33,7 +33,7 @@
                 "PROBE | ''",
             })
     void writesEachOrder(GroupOrderKind kind, String body) {
-        final FullHttpRequest request = writer.encode(order(kind));
+        final FullHttpRequest request = codec.encode(order(kind));
 
         assertThat(request.content().toString(StandardCharsets.UTF_8)).isEqualTo(body);
         assertThat(request.headers().get("X-Expect-Instance")).isEqualTo("i-1");
@@ -43,7 +43,7 @@
     @ParameterizedTest
     @CsvSource({"200, DONE", "202, BEGUN", "409, REFUSED", "412, REFUSED", "400, REFUSED", "421, ENDED"})
     void readsEachAnswer(int status, OrderAnswer expected) {
-        assertThat(writer.decode(
+        assertThat(codec.decode(
                         order(GroupOrderKind.JOIN), new OneCall.Answer(status, new DefaultHttpHeaders(), Bytes.EMPTY)))
                 .isEqualTo(expected);
     }
--- a/src/test/java/org/wigeongrade/platform/soak/ControlCaller.java
+++ b/src/test/java/org/wigeongrade/platform/soak/ControlClient.java
@@ -7,27 +7,27 @@
 import java.util.Optional;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Calls the control VMs as endpoints and operators do: any of them, then another one. Thread safe. */
-final class ControlCaller {
+/** Calls control VMs as endpoints and operators do: a random one, then the leader if redirected. Thread safe. */
+final class ControlClient {
     private static final int READ_TIMEOUT_MS = 1_000;
-    private static final int FIRST_FAILURE = 500;
+    private static final int FIRST_SERVER_ERROR = 500;
     private static final int REDIRECT = 307;
 
     private final List<InetSocketAddress> controls;
 
-    ControlCaller(List<InetSocketAddress> controls) {
+    ControlClient(List<InetSocketAddress> controls) {
         this.controls = List.copyOf(controls);
     }
 
-    /** Makes one call to some control VM and follows one redirect; returns nothing if there was no clear answer. */
+    /** Calls a random control VM and follows one redirect; empty after a failure, a second redirect or a 5xx status. */
     Optional<HttpConnection.Answer> call(String method, String path, String body) {
         final InetSocketAddress first = controls.get(ThreadLocalRandom.current().nextInt(controls.size()));
         final Optional<HttpConnection.Answer> answer = callAt(first, method, path, body);
-        final boolean elsewhere =
-                answer.filter(found -> found.status() == REDIRECT).isPresent();
+        final boolean redirected =
+                answer.filter(response -> response.status() == REDIRECT).isPresent();
         final Optional<HttpConnection.Answer> last =
-                elsewhere ? callAt(target(answer.orElseThrow()), method, path, body) : answer;
-        return last.filter(found -> found.status() < FIRST_FAILURE && found.status() != REDIRECT);
+                redirected ? callAt(target(answer.orElseThrow()), method, path, body) : answer;
+        return last.filter(response -> response.status() < FIRST_SERVER_ERROR && response.status() != REDIRECT);
     }
 
     private static InetSocketAddress target(HttpConnection.Answer redirect) {
--- /dev/null
+++ b/src/test/java/org/wigeongrade/platform/soak/FakeEndpointFleet.java
@@ -0,0 +1,122 @@
+package org.wigeongrade.platform.soak;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
+import org.wigeongrade.proof.LoopbackPorts;
+
+/** The endpoint VMs of a soak test, and the checks of guarantees that involve several of them. Thread safe. */
+final class FakeEndpointFleet implements AutoCloseable {
+    private static final int DOMAINS = 2;
+    private static final int VMS_IN_DOMAIN = 5;
+    private static final int PLAIN_REPLICAS = 2;
+
+    private final GuaranteeChecker guarantees;
+    private final ControlClient control;
+    private final SoakOperator operator;
+    private final List<FakeEndpointVm> vms = new CopyOnWriteArrayList<>();
+    private final Map<FakeEngine.Group, Set<String>> readyMembers = new ConcurrentHashMap<>();
+
+    FakeEndpointFleet(GuaranteeChecker guarantees, ControlClient control, SoakOperator operator) {
+        this.guarantees = guarantees;
+        this.control = control;
+        this.operator = operator;
+    }
+
+    void start() {
+        for (int domain = 0; domain < DOMAINS; domain++) {
+            for (int vm = 0; vm < VMS_IN_DOMAIN; vm++) {
+                add("e-" + domain + "-" + vm, "pool", Optional.of("domain-" + domain));
+            }
+        }
+        for (int replica = 0; replica < PLAIN_REPLICAS; replica++) {
+            add("a-" + replica, "app", Optional.empty());
+            add("b-" + replica, "other", Optional.empty());
+        }
+    }
+
+    private void add(String name, String service, Optional<String> domain) {
+        vms.add(new FakeEndpointVm(name, service, LoopbackPorts.free(), this, domain));
+    }
+
+    List<FakeEndpointVm> vms() {
+        return vms;
+    }
+
+    /** Returns a random VM: an engine or a replica of a plain service, with equal probability. */
+    FakeEndpointVm pick(Random random) {
+        final boolean engine = random.nextBoolean();
+        final List<FakeEndpointVm> candidates =
+                vms.stream().filter(vm -> vm.engine().isPresent() == engine).toList();
+        return candidates.get(random.nextInt(candidates.size()));
+    }
+
+    GuaranteeChecker guarantees() {
+        return guarantees;
+    }
+
+    ControlClient control() {
+        return control;
+    }
+
+    /** Checks that an endpoint may run a request under one of the configurations that were sent. */
+    void checkRun(String path, String service, String organisation, String attempt) {
+        operator.checkRun(path, service, organisation, attempt, guarantees.sentNanos(attempt));
+    }
+
+    void recordReady(FakeEngine.Group group, String vm) {
+        readyMembers
+                .computeIfAbsent(group, unused -> ConcurrentHashMap.newKeySet())
+                .add(vm);
+    }
+
+    /** Returns whether every member runs and is still in the group. */
+    boolean isComplete(FakeEngine.Group group) {
+        return group != null
+                && group.members().stream()
+                        .allMatch(member -> member(member)
+                                .filter(vm -> vm.isRunning()
+                                        && group.equals(
+                                                vm.engine().orElseThrow().group()))
+                                .isPresent());
+    }
+
+    /** Checks that a group that starts a request has its full size and that all members have been ready in it. */
+    void checkComplete(FakeEngine.Group group) {
+        if (group == null) {
+            return;
+        }
+        final Set<String> ready = readyMembers.getOrDefault(group, Set.of());
+        if (group.members().size() != FakeEngine.GROUP_SIZE || !ready.containsAll(group.members())) {
+            guarantees.reportViolation("only complete groups serve", group + " runs a request, but the ready members were " + ready);
+        }
+    }
+
+    /** Checks that a VM joins another group only once the head of its current group can no longer run requests. */
+    void checkJoin(String vm, FakeEngine.Group currentGroup, String newGroup) {
+        if (currentGroup == null || currentGroup.name().equals(newGroup)) {
+            return;
+        }
+        final Optional<FakeEndpointVm> head = member(currentGroup.members().get(0));
+        final boolean headServes = head.filter(FakeEndpointVm::isRunning)
+                .flatMap(FakeEndpointVm::engine)
+                .filter(member -> currentGroup.equals(member.group()) && member.mayServe())
+                .isPresent();
+        if (headServes) {
+            guarantees.reportViolation("no VM is in two serving groups", vm + " joins " + newGroup + " while the head of " + currentGroup + " serves");
+        }
+    }
+
+    private Optional<FakeEndpointVm> member(String name) {
+        return vms.stream().filter(vm -> vm.name().equals(name)).findFirst();
+    }
+
+    @Override
+    public void close() {
+        vms.forEach(FakeEndpointVm::close);
+    }
+}
--- a/src/test/java/org/wigeongrade/platform/soak/StandinVm.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FakeEndpointVm.java
@@ -15,51 +15,51 @@
 import org.wigeongrade.proof.Await;
 
 /**
- * One endpoint VM that announces itself and runs requests: a replica of a plain service, or an engine in a group.
+ * A fake endpoint VM that sends heartbeats and runs requests: a replica of a plain service, or an engine in a group.
  *
- * <p>Invariant: an ended incarnation sends nothing more; the next one at the address is a younger one. Thread safe.
+ * <p>Invariant: a stopped incarnation sends nothing more; the next one at the address starts later. Thread safe.
  */
-final class StandinVm implements AutoCloseable {
+final class FakeEndpointVm implements AutoCloseable {
     static final long HEARTBEAT_MS = 300;
     private static final int NOT_RUN_STATUS = 503;
     private static final int MISDIRECTED = 421;
     private static final int EVENTS = 12;
-    private static final long EVENT_PAUSE_MS = 15;
-    private static final int LONGEST_WORK_MS = 25;
+    private static final long EVENT_INTERVAL_MS = 15;
+    private static final int MAX_WORK_MS = 25;
 
     private final String name;
     private final String service;
     private final int port;
-    private final StandinFleet fleet;
-    private final Optional<EngineMember> engine;
-    private final Thread heartbeats = new Thread(this::announce, "heartbeat");
+    private final FakeEndpointFleet fleet;
+    private final Optional<FakeEngine> engine;
+    private final Thread heartbeatThread = new Thread(this::sendHeartbeats, "heartbeat");
     private HttpServer server;
     private ExecutorService workers;
-    private volatile long bornMs;
+    private volatile long startedMs;
     private final AtomicLong sequence = new AtomicLong();
     private volatile boolean running;
     private volatile boolean draining;
-    private volatile boolean dark;
+    private volatile boolean unresponsive;
     private volatile boolean closed;
-    /** Part of the requests whose answer is lost after they ran. */
-    private volatile double answersLost;
+    /** Fraction of requests whose answer is dropped after they ran. */
+    private volatile double lostAnswerRatio;
 
-    StandinVm(String name, String service, int port, StandinFleet fleet, Optional<String> domain) {
+    FakeEndpointVm(String name, String service, int port, FakeEndpointFleet fleet, Optional<String> domain) {
         this.name = name;
         this.service = service;
         this.port = port;
         this.fleet = fleet;
-        this.engine = domain.map(known -> new EngineMember(name, known, fleet));
+        this.engine = domain.map(fabricDomain -> new FakeEngine(name, fabricDomain, fleet));
         start();
-        heartbeats.setDaemon(true);
-        heartbeats.start();
+        heartbeatThread.setDaemon(true);
+        heartbeatThread.start();
     }
 
     String name() {
         return name;
     }
 
-    Optional<EngineMember> engine() {
+    Optional<FakeEngine> engine() {
         return engine;
     }
 
@@ -67,16 +67,16 @@
         return running;
     }
 
-    void loseAnswers(double part) {
-        answersLost = part;
+    void loseAnswers(double ratio) {
+        lostAnswerRatio = ratio;
     }
 
-    /** Answers and announces nothing while dark. */
-    void setDark(boolean isDark) {
-        dark = isDark;
+    /** Sets whether this VM stops answering requests and sending heartbeats. */
+    void setUnresponsive(boolean isUnresponsive) {
+        unresponsive = isUnresponsive;
     }
 
-    /** Begins an incarnation. */
+    /** Starts a new incarnation. */
     synchronized void start() {
         try {
             server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 0);
@@ -90,22 +90,22 @@
         });
         server.setExecutor(workers);
         server.createContext("/", this::serve);
-        bornMs = System.currentTimeMillis();
+        startedMs = System.currentTimeMillis();
         sequence.set(0);
         draining = false;
-        engine.ifPresent(EngineMember::restarted);
+        engine.ifPresent(FakeEngine::reset);
         running = true;
         server.start();
     }
 
-    /** Begins another incarnation if none runs. */
+    /** Starts a new incarnation if none is running. */
     synchronized void restart() {
         if (!running && !closed) {
             start();
         }
     }
 
-    /** Ends the incarnation without a word. */
+    /** Stops the incarnation without deregistering it. */
     synchronized void crash() {
         if (running) {
             running = false;
@@ -114,30 +114,30 @@
         }
     }
 
-    /** Leaves as planned: says so, serves on for a while, says that it has left, ends. */
+    /** Leaves gracefully: reports that it drains, serves for another {@code serveOnMs}, deregisters and stops. */
     void leave(long serveOnMs) {
         draining = true;
-        heartbeat();
+        sendHeartbeat();
         Await.sleepMs(serveOnMs);
         final var unused = fleet.control().call("POST", "/-/instances/" + name + "/deregister", "");
         crash();
     }
 
-    private void announce() {
+    private void sendHeartbeats() {
         while (!closed) {
-            if (running && !dark) {
-                heartbeat();
+            if (running && !unresponsive) {
+                sendHeartbeat();
             }
-            final long changes = engine.map(EngineMember::changes).orElse(0L);
-            final long dueNanos = System.nanoTime() + HEARTBEAT_MS * 1_000_000;
-            while (System.nanoTime() - dueNanos < 0
-                    && changes == engine.map(EngineMember::changes).orElse(0L)) {
+            final long changes = engine.map(FakeEngine::changes).orElse(0L);
+            final long nextNanos = System.nanoTime() + HEARTBEAT_MS * 1_000_000;
+            while (System.nanoTime() - nextNanos < 0
+                    && changes == engine.map(FakeEngine::changes).orElse(0L)) {
                 Await.sleepMs(5);
             }
         }
     }
 
-    private void heartbeat() {
+    private void sendHeartbeat() {
         final String body = """
                 {"service":"%s","address":"127.0.0.1:%d","zone":"zone-a","version":"v1","slots":8,"state":"%s",
                 "coldRemainingMs":0,"sequence":%d,"born":%d%s}""".formatted(
@@ -145,14 +145,14 @@
                         port,
                         draining ? "draining" : "ready",
                         sequence.incrementAndGet(),
-                        bornMs,
-                        engine.map(EngineMember::report).orElse(""));
+                        startedMs,
+                        engine.map(FakeEngine::report).orElse(""));
         final var unused = fleet.control().call("POST", "/-/instances/" + name + "/heartbeat", body);
     }
 
-    /** A request that fails with an exception ends its connection, without the mark of a whole answer. */
+    /** Serves a request; an exception closes the connection without the terminator of a complete answer. */
     private void serve(HttpExchange exchange) throws IOException {
-        while (dark) {
+        while (unresponsive) {
             Await.sleepMs(20);
         }
         final String expected = exchange.getRequestHeaders().getFirst("X-Expect-Instance");
@@ -162,44 +162,44 @@
             answer(exchange, 200, "{}");
         } else if (exchange.getRequestURI().getPath().equals("/-/order")) {
             final byte[] order = exchange.getRequestBody().readAllBytes();
-            answer(exchange, engine.orElseThrow().take(order), "");
+            answer(exchange, engine.orElseThrow().carryOut(order), "");
         } else {
             run(exchange);
         }
     }
 
     private void run(HttpExchange exchange) throws IOException {
-        final String attempt = exchange.getRequestHeaders().getFirst("X-Attempt-Id");
+        final String attemptId = exchange.getRequestHeaders().getFirst("X-Attempt-Id");
         final String path = exchange.getRequestURI().getPath();
         final String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
-        exchange.getResponseHeaders().set("X-Attempt-Id", attempt);
-        if (engine.isPresent() && !engine.get().mayBegin()) {
+        exchange.getResponseHeaders().set("X-Attempt-Id", attemptId);
+        if (engine.isPresent() && !engine.get().awaitAdmission()) {
             exchange.getResponseHeaders().set("X-Not-Executed", "1");
             answer(exchange, engine.get().isHead() ? NOT_RUN_STATUS : MISDIRECTED, "");
             return;
         }
-        fleet.promises().ran(attempt, !path.startsWith("/charge/"));
-        fleet.checkRun(path, service, exchange.getRequestHeaders().getFirst("X-Tenant"), attempt);
-        if (ThreadLocalRandom.current().nextDouble() < answersLost) {
-            throw new IOException("the answer is lost");
+        fleet.guarantees().recordRun(attemptId, !path.startsWith("/charge/"));
+        fleet.checkRun(path, service, exchange.getRequestHeaders().getFirst("X-Tenant"), attemptId);
+        if (ThreadLocalRandom.current().nextDouble() < lostAnswerRatio) {
+            throw new IOException("injected loss of the answer");
         }
-        exchange.getResponseHeaders().set("X-Server-Seal", "seal-" + attempt);
+        exchange.getResponseHeaders().set("X-Server-Seal", "seal-" + attemptId);
         if (engine.isPresent()) {
             stream(exchange, engine.get());
         } else {
-            Await.sleepMs(ThreadLocalRandom.current().nextInt(LONGEST_WORK_MS));
-            answer(exchange, 200, "ran " + attempt + " " + path + " " + body);
+            Await.sleepMs(ThreadLocalRandom.current().nextInt(MAX_WORK_MS));
+            answer(exchange, 200, "ran " + attemptId + " " + path + " " + body);
         }
     }
 
-    private void stream(HttpExchange exchange, EngineMember member) throws IOException {
-        final String last = exchange.getRequestHeaders().getFirst("Last-Event-Id");
+    private void stream(HttpExchange exchange, FakeEngine groupMember) throws IOException {
+        final String lastEventId = exchange.getRequestHeaders().getFirst("Last-Event-Id");
         exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
         exchange.sendResponseHeaders(200, 0);
-        for (int event = last == null ? 1 : Integer.parseInt(last) + 1; event <= EVENTS; event++) {
-            Await.sleepMs(EVENT_PAUSE_MS);
-            if (!running || !member.awaitProgress()) {
-                throw new IOException("the group broke");
+        for (int event = lastEventId == null ? 1 : Integer.parseInt(lastEventId) + 1; event <= EVENTS; event++) {
+            Await.sleepMs(EVENT_INTERVAL_MS);
+            if (!running || !groupMember.awaitProgress()) {
+                throw new IOException("the VM stopped or its group broke");
             }
             exchange.getResponseBody()
                     .write(("id: " + event + "\ndata: event-" + event + "\n\n").getBytes(StandardCharsets.UTF_8));
@@ -208,17 +208,17 @@
         exchange.close();
     }
 
-    /** Returns what a whole stream holds. */
-    static String wholeStream() {
-        final StringBuilder whole = new StringBuilder();
+    /** Returns the body of a complete stream. */
+    static String expectedStream() {
+        final StringBuilder events = new StringBuilder();
         for (int event = 1; event <= EVENTS; event++) {
-            whole.append("id: ")
+            events.append("id: ")
                     .append(event)
                     .append("\ndata: event-")
                     .append(event)
                     .append("\n\n");
         }
-        return whole.toString();
+        return events.toString();
     }
 
     private static void answer(HttpExchange exchange, int status, String body) throws IOException {
--- a/src/test/java/org/wigeongrade/platform/soak/EngineMember.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FakeEngine.java
@@ -9,61 +9,61 @@
 import org.wigeongrade.proof.Await;
 
 /**
- * The group membership of an engine VM, by the engines' contract, with short times.
+ * The group membership of a fake engine VM, which follows the contract of real engines but with shorter times.
  *
- * <p>Invariant: a head that lost a member stands still and breaks after {@link #STALL_MS}. Thread safe; the lock of one
- * member is never held while another member is asked.
+ * <p>Invariant: the head of a group that lost a member stalls, and breaks after {@link #STALL_MS}. Thread safe; the
+ * lock of one member is never held during a call to another member.
  */
-final class EngineMember {
+final class FakeEngine {
     static final long STALL_MS = 1_000;
     static final int GROUP_SIZE = 2;
-    private static final long JOIN_MS = 150;
-    /** Members of a group are not ready at the same moment. */
+    private static final long MIN_JOIN_MS = 150;
+    /** Largest random addition to {@link #MIN_JOIN_MS}, so that members do not become ready at the same time. */
     private static final long JOIN_SPREAD_MS = 1_200;
 
     private static final long FORMATION_MS = 100;
     private static final long CLOSE_MS = 30;
     private static final int BEGUN = 202;
     private static final int DONE = 200;
-    private static final int DOES_NOT_FIT = 409;
-    private static final int FENCED = 412;
+    private static final int CONFLICT = 409;
+    private static final int STALE_TOKEN = 412;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** A group as one member knows it. Immutable; safe for use from any thread. */
+    /** One member's view of its group. Immutable; safe for use from any thread. */
     record Group(String name, long epoch, List<String> members) {}
 
     private final String vm;
-    private final String domain;
-    private final StandinFleet fleet;
+    private final String fabricDomain;
+    private final FakeEndpointFleet fleet;
     private Group group;
     private String state = "";
     private String nextState = "";
     private long nextStateNanos;
-    private long fence;
+    private long highestFencingToken;
     private long highestEpoch;
     private boolean loaded;
     private volatile long changes;
-    private long standsStillSinceNanos;
+    private long stalledSinceNanos;
 
-    EngineMember(String vm, String domain, StandinFleet fleet) {
+    FakeEngine(String vm, String fabricDomain, FakeEndpointFleet fleet) {
         this.vm = vm;
-        this.domain = domain;
+        this.fabricDomain = fabricDomain;
         this.fleet = fleet;
     }
 
-    synchronized void restarted() {
+    synchronized void reset() {
         group = null;
         state = "";
         nextState = "";
-        fence = 0;
+        highestFencingToken = 0;
         highestEpoch = 0;
         loaded = false;
-        standsStillSinceNanos = 0;
+        stalledSinceNanos = 0;
     }
 
-    /** Returns a number that grows when the state changes, so that a heartbeat is due. */
+    /** Returns a counter of state changes; each change makes a heartbeat due. */
     long changes() {
-        settle();
+        applyDueTransition();
         return changes;
     }
 
@@ -75,94 +75,94 @@
         return group != null && group.members().get(0).equals(vm);
     }
 
-    /** Returns whether the head of this group runs requests or may run them yet. */
+    /** Returns whether this VM heads a group that accepts requests or still finishes running ones. */
     boolean mayServe() {
-        settle();
+        applyDueTransition();
         synchronized (this) {
             return isHead() && (state.equals("open") || state.equals("closing"));
         }
     }
 
-    boolean isReadyIn(Group other) {
-        settle();
+    boolean isReadyIn(Group expected) {
+        applyDueTransition();
         synchronized (this) {
-            return other.equals(group) && !state.equals("joining");
+            return expected.equals(group) && !state.equals("joining");
         }
     }
 
-    /** Returns whether a request begins to run here; waits while the group stands still. */
-    boolean mayBegin() {
+    /** Waits while the group is stalled, then returns whether a request may start here. */
+    boolean awaitAdmission() {
         if (!mayServe() || !awaitProgress()) {
             return false;
         }
-        fleet.checkWhole(group());
+        fleet.checkComplete(group());
         return true;
     }
 
-    /** Waits while a member is missing; returns false once the group broke or closed. */
+    /** Waits while a member is missing; returns false if the group breaks or closes meanwhile. */
     boolean awaitProgress() {
         while (mayServe()) {
-            if (fleet.isWhole(group())) {
+            if (fleet.isComplete(group())) {
                 synchronized (this) {
-                    standsStillSinceNanos = 0;
+                    stalledSinceNanos = 0;
                 }
                 return true;
             }
-            noteStandstill();
+            recordStall();
             Await.sleepMs(10);
         }
         return false;
     }
 
-    private synchronized void noteStandstill() {
+    private synchronized void recordStall() {
         final long nowNanos = System.nanoTime();
-        standsStillSinceNanos = standsStillSinceNanos == 0 ? nowNanos : standsStillSinceNanos;
-        if (nowNanos - standsStillSinceNanos > STALL_MS * 1_000_000) {
-            become("broken");
+        stalledSinceNanos = stalledSinceNanos == 0 ? nowNanos : stalledSinceNanos;
+        if (nowNanos - stalledSinceNanos > STALL_MS * 1_000_000) {
+            setState("broken");
         }
     }
 
-    /** Carries out an order and returns the status of the answer. */
-    int take(byte[] bytes) throws IOException {
-        final JsonNode order = JSON.readTree(bytes);
-        settle();
+    /** Carries out an order and returns the HTTP status of the answer. */
+    int carryOut(byte[] body) throws IOException {
+        final JsonNode order = JSON.readTree(body);
+        applyDueTransition();
         if (order.path("operation").asText().equals("join")) {
             fleet.checkJoin(vm, group(), order.path("group").asText());
         }
         synchronized (this) {
-            if (order.path("fencingToken").asLong() < fence) {
-                return FENCED;
+            if (order.path("fencingToken").asLong() < highestFencingToken) {
+                return STALE_TOKEN;
             }
-            fence = order.path("fencingToken").asLong();
+            highestFencingToken = order.path("fencingToken").asLong();
             return switch (order.path("operation").asText()) {
                 case "join" -> join(order);
                 case "phase" -> DONE;
-                default -> isHere(order) ? change(order.path("operation").asText()) : DOES_NOT_FIT;
+                default -> isForCurrentGroup(order) ? change(order.path("operation").asText()) : CONFLICT;
             };
         }
     }
 
-    private synchronized boolean isHere(JsonNode order) {
+    private synchronized boolean isForCurrentGroup(JsonNode order) {
         return group != null
                 && group.name().equals(order.path("group").asText())
                 && group.epoch() == order.path("epoch").asLong();
     }
 
     private synchronized int join(JsonNode order) {
-        if (isHere(order)) {
+        if (isForCurrentGroup(order)) {
             return DONE;
         }
         if (order.path("epoch").asLong() < highestEpoch) {
-            return FENCED;
+            return STALE_TOKEN;
         }
         highestEpoch = order.path("epoch").asLong();
         final List<String> members = new ArrayList<>();
         order.path("members").forEach(member -> members.add(member.asText()));
         group = new Group(order.path("group").asText(), highestEpoch, List.copyOf(members));
         loaded = true;
-        standsStillSinceNanos = 0;
-        become("joining");
-        later("ready", JOIN_MS + ThreadLocalRandom.current().nextLong(JOIN_SPREAD_MS));
+        stalledSinceNanos = 0;
+        setState("joining");
+        scheduleTransition("ready", MIN_JOIN_MS + ThreadLocalRandom.current().nextLong(JOIN_SPREAD_MS));
         return BEGUN;
     }
 
@@ -172,7 +172,7 @@
             case "close" -> close();
             default -> {
                 group = null;
-                become("");
+                setState("");
                 yield DONE;
             }
         };
@@ -180,50 +180,50 @@
 
     private synchronized int open() {
         if (!state.equals("ready")) {
-            return state.equals("open") ? DONE : DOES_NOT_FIT;
+            return state.equals("open") ? DONE : CONFLICT;
         }
-        later("open", FORMATION_MS);
+        scheduleTransition("open", FORMATION_MS);
         return BEGUN;
     }
 
     private synchronized int close() {
         if (state.equals("open")) {
-            become("closing");
-            later("ready", CLOSE_MS);
+            setState("closing");
+            scheduleTransition("ready", CLOSE_MS);
             return BEGUN;
         }
-        return state.equals("ready") && nextState.isEmpty() ? DONE : DOES_NOT_FIT;
+        return state.equals("ready") && nextState.isEmpty() ? DONE : CONFLICT;
     }
 
-    private synchronized void later(String next, long afterMs) {
+    private synchronized void scheduleTransition(String next, long afterMs) {
         nextState = next;
         nextStateNanos = System.nanoTime() + afterMs * 1_000_000;
     }
 
-    private synchronized void settle() {
+    private synchronized void applyDueTransition() {
         if (!nextState.isEmpty() && System.nanoTime() - nextStateNanos >= 0) {
-            become(nextState);
+            setState(nextState);
             if (state.equals("ready")) {
-                fleet.readyOnce(group, vm);
+                fleet.recordReady(group, vm);
             }
         }
     }
 
-    private synchronized void become(String next) {
+    private synchronized void setState(String next) {
         state = next;
         nextState = "";
         changes++;
     }
 
-    /** Returns the fields that a heartbeat of an engine adds. */
+    /** Returns the additional heartbeat fields of an engine, as JSON. */
     synchronized String report() {
         final String models = loaded ? "[{\"name\":\"large\",\"version\":1,\"adapters\":[]}]" : "[]";
         final String staged = loaded ? "[\"large\"]" : "[]";
-        final String place = group == null
+        final String groupField = group == null
                 ? ""
                 : ",\"group\":{\"name\":\"%s\",\"epoch\":%d,\"rank\":%d,\"state\":\"%s\"}"
                         .formatted(group.name(), group.epoch(), group.members().indexOf(vm), state);
         return ",\"phase\":\"both\",\"models\":%s,\"staged\":%s,\"domain\":\"%s\"%s"
-                .formatted(models, staged, domain, place);
+                .formatted(models, staged, fabricDomain, groupField);
     }
 }
--- a/src/test/java/org/wigeongrade/platform/soak/FleetSoakTest.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FleetSoakTest.java
@@ -18,21 +18,21 @@
 import org.wigeongrade.proof.Await;
 
 /**
- * Plays random faults against separate processes and checks the promises to clients, endpoints and operators.
+ * Injects random faults into separate processes and checks the guarantees to clients, endpoints and operators.
  *
- * <p>{@code -Dsoak.seeds=1,2,3} names the seeds, {@code -Dsoak.seconds=N} the time for each, {@code -Dsoak.logs=FOLDER} where
- * the nodes' logs go.
+ * <p>{@code -Dsoak.seeds=1,2,3} sets the seeds, {@code -Dsoak.seconds=N} the duration for each, and {@code
+ * -Dsoak.logs=FOLDER} the folder for the nodes' logs.
  */
 final class FleetSoakTest {
-    /** A short run for CI, and each seed that ever failed. */
+    /** Seeds of the short run in CI: one default and every seed that ever failed. */
     private static final String CI_SEEDS = "1";
 
     private static final int CI_SECONDS = 12;
     private static final int CONTROLS = 3;
     private static final int ENTRIES = 2;
     private static final int CLIENTS = 8;
-    private static final long START_MS = 30_000;
-    private static final long RECOVERY_MS = 15_000;
+    private static final long START_TIMEOUT_MS = 30_000;
+    private static final long RECOVERY_TIMEOUT_MS = 15_000;
 
     @TempDir
     private Path folder;
@@ -44,49 +44,49 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void promisesHoldWhateverHappens(long seed) throws Exception {
+    void guaranteesHoldUnderFaults(long seed) throws Exception {
         final long forMs = Integer.getInteger("soak.seconds", CI_SECONDS) * 1_000L;
-        final Promises promises = new Promises();
+        final GuaranteeChecker guarantees = new GuaranteeChecker();
         final SoakAddresses addresses = SoakAddresses.free(CONTROLS, ENTRIES);
-        final ControlCaller control = new ControlCaller(addresses.controlAddresses());
-        final SoakOperator operator = new SoakOperator(control, promises);
+        final ControlClient control = new ControlClient(addresses.controlAddresses());
+        final SoakOperator operator = new SoakOperator(control, guarantees);
         try (SoakNodes nodes = new SoakNodes(folder, addresses);
-                StandinFleet standins = new StandinFleet(promises, control, operator)) {
-            final SoakFaults faults = new SoakFaults(nodes, standins, new Random(seed));
+                FakeEndpointFleet endpoints = new FakeEndpointFleet(guarantees, control, operator)) {
+            final FaultInjector faults = new FaultInjector(nodes, endpoints, new Random(seed));
             try {
-                play(seed, forMs, promises, addresses, operator, standins, faults);
+                runScenario(seed, forMs, guarantees, addresses, operator, endpoints, faults);
             } finally {
-                report(seed, promises, faults, nodes);
+                report(seed, guarantees, faults, nodes);
             }
             assertWithMessage("seed %s, faults %s", seed, faults.injected())
-                    .that(promises.violations())
+                    .that(guarantees.violations())
                     .isEmpty();
         }
     }
 
-    private static void play(
+    private static void runScenario(
             long seed,
             long forMs,
-            Promises promises,
+            GuaranteeChecker guarantees,
             SoakAddresses addresses,
             SoakOperator operator,
-            StandinFleet standins,
-            SoakFaults faults)
+            FakeEndpointFleet endpoints,
+            FaultInjector faults)
             throws InterruptedException {
-        assertThat(operator.publishNext(true, START_MS)).isTrue();
-        standins.start();
+        assertThat(operator.publishNext(true, START_TIMEOUT_MS)).isTrue();
+        endpoints.start();
         final AtomicBoolean stopped = new AtomicBoolean();
-        final List<Thread> clients = startClients(seed, addresses, promises, operator, stopped);
-        awaitServed(promises, "served at first", START_MS);
+        final List<Thread> clients = startClients(seed, addresses, guarantees, operator, stopped);
+        awaitAnswers(guarantees, "requests served after the start", START_TIMEOUT_MS);
         final Thread publishing = start("operator", () -> operator.run(new Random(seed + 1), forMs));
         faults.run(forMs);
         publishing.join();
-        awaitServed(promises, "served again after the faults " + faults.injected(), RECOVERY_MS);
+        awaitAnswers(guarantees, "requests served again after the faults " + faults.injected(), RECOVERY_TIMEOUT_MS);
         Await.until(
-                "the configuration is read back",
-                RECOVERY_MS,
+                "the accepted configuration is read back",
+                RECOVERY_TIMEOUT_MS,
                 () -> operator.read()
-                        .filter(version -> version >= operator.acknowledged())
+                        .filter(version -> version >= operator.acceptedVersion())
                         .isPresent());
         stopped.set(true);
         for (final Thread client : clients) {
@@ -95,12 +95,12 @@
     }
 
     private static List<Thread> startClients(
-            long seed, SoakAddresses addresses, Promises promises, SoakOperator operator, AtomicBoolean stopped) {
+            long seed, SoakAddresses addresses, GuaranteeChecker guarantees, SoakOperator operator, AtomicBoolean stopped) {
         final List<Thread> clients = new ArrayList<>();
         for (int client = 0; client < CLIENTS; client++) {
             final Random random = new Random(seed * CLIENTS + client);
             clients.add(
-                    start("client-" + client, new SoakClient(client, addresses, promises, operator, stopped, random)));
+                    start("client-" + client, new SoakClient(client, addresses, guarantees, operator, stopped, random)));
         }
         return clients;
     }
@@ -112,15 +112,15 @@
         return thread;
     }
 
-    /** Waits for twenty more answers of endpoints. */
-    private static void awaitServed(Promises promises, String what, long patienceMs) {
-        final int before = promises.answers(200);
-        Await.until(what + "; " + promises, patienceMs, () -> promises.answers(200) >= before + 20);
+    /** Waits for twenty more successful answers. */
+    private static void awaitAnswers(GuaranteeChecker guarantees, String what, long timeoutMs) {
+        final int before = guarantees.answerCount(200);
+        Await.until(what + "; " + guarantees, timeoutMs, () -> guarantees.answerCount(200) >= before + 20);
     }
 
-    private static void report(long seed, Promises promises, SoakFaults faults, SoakNodes nodes) throws IOException {
-        System.out.println("soak seed " + seed + ": " + faults.injected().size() + " faults, " + promises
-                + ", violations " + promises.violations());
+    private static void report(long seed, GuaranteeChecker guarantees, FaultInjector faults, SoakNodes nodes) throws IOException {
+        System.out.println("soak seed " + seed + ": " + faults.injected().size() + " faults, " + guarantees
+                + ", violations " + guarantees.violations());
         final String logs = System.getProperty("soak.logs");
         if (logs != null) {
             Files.writeString(Path.of(logs, "seed-" + seed + ".log"), faults.injected() + "\n" + nodes.logs());
--- /dev/null
+++ b/src/test/java/org/wigeongrade/platform/soak/GuaranteeChecker.java
@@ -0,0 +1,83 @@
+package org.wigeongrade.platform.soak;
+
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/**
+ * Records what clients, endpoints and operators observe, and every violation of a guarantee. Thread safe.
+ */
+final class GuaranteeChecker {
+    /** Statuses that guarantee that the request has not run and never will. */
+    private static final List<Integer> NOT_RUN_STATUSES = List.of(408, 421, 429, 503);
+
+    private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
+    private final Map<String, Integer> refusalStatuses = new ConcurrentHashMap<>();
+    private final Map<String, Long> sentNanos = new ConcurrentHashMap<>();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
+    private final Map<Integer, AtomicInteger> answersByStatus = new ConcurrentHashMap<>();
+    private final AtomicInteger incompleteAnswers = new AtomicInteger();
+
+    void reportViolation(String guarantee, String details) {
+        violations.add(guarantee + ": " + details);
+    }
+
+    void recordSent(String attempt) {
+        sentNanos.put(attempt, System.nanoTime());
+    }
+
+    /** Returns when a client sent the request; 0 if no client did. */
+    long sentNanos(String attempt) {
+        return sentNanos.getOrDefault(attempt, 0L);
+    }
+
+    /** Records that an endpoint started to run a request. */
+    void recordRun(String attempt, boolean idempotent) {
+        if (!sentNanos.containsKey(attempt)) {
+            reportViolation("only requests of clients run", attempt + " was sent by no client");
+        }
+        final int count =
+                runs.computeIfAbsent(attempt, unused -> new AtomicInteger()).incrementAndGet();
+        if (!idempotent && count > 1) {
+            reportViolation("a non-idempotent request runs at most once", attempt + " ran " + count + " times");
+        }
+        if (!idempotent && refusalStatuses.containsKey(attempt)) {
+            reportViolation("a refused request never runs", attempt + " ran after it was refused with " + refusalStatuses.get(attempt));
+        }
+    }
+
+    /** Records a complete answer that a client received. */
+    void recordAnswer(String attempt, HttpConnection.Answer answer, boolean idempotent) {
+        answersByStatus.computeIfAbsent(answer.status(), unused -> new AtomicInteger()).incrementAndGet();
+        if (!idempotent && NOT_RUN_STATUSES.contains(answer.status())) {
+            refusalStatuses.put(attempt, answer.status());
+            if (runs.containsKey(attempt)) {
+                reportViolation("a refused request never runs", attempt + " was refused with " + answer.status() + " and ran");
+            }
+        }
+        final String echoedAttempt = answer.headers().get("x-attempt-id");
+        if (echoedAttempt != null && !echoedAttempt.equals(attempt)) {
+            reportViolation("each answer belongs to its request", attempt + " got the answer to " + echoedAttempt);
+        }
+    }
+
+    /** Records that a client did not receive a complete answer. */
+    void recordIncompleteAnswer() {
+        incompleteAnswers.incrementAndGet();
+    }
+
+    List<String> violations() {
+        return List.copyOf(violations);
+    }
+
+    int answerCount(int status) {
+        return answersByStatus.getOrDefault(status, new AtomicInteger()).get();
+    }
+
+    @Override
+    public String toString() {
+        return "answers by status " + answersByStatus + ", incomplete answers " + incompleteAnswers + ", runs " + runs.size();
+    }
+}
--- a/src/test/java/org/wigeongrade/platform/soak/HttpConnection.java
+++ b/src/test/java/org/wigeongrade/platform/soak/HttpConnection.java
@@ -13,19 +13,19 @@
 import java.util.Map;
 
 /**
- * One HTTP/1.1 connection of a client that never sends a request twice by itself.
+ * A client's HTTP/1.1 connection that never resends a request.
  *
- * <p>Invariant: an answer that ends early is an {@link IOException}. Not thread safe.
+ * <p>Invariant: a truncated answer causes an {@link IOException}. Not thread safe.
  */
 final class HttpConnection implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     private final Socket socket = new Socket();
     private final InputStream input;
     private boolean open = true;
 
-    /** One whole answer. */
+    /** A complete answer. */
     record Answer(int status, Map<String, String> headers, String body) {}
 
     HttpConnection(InetSocketAddress address, int readTimeoutMs) throws IOException {
@@ -40,7 +40,7 @@
         return open;
     }
 
-    /** Sends a request with a body and reads its whole answer. */
+    /** Sends a request with a body and returns the complete answer. */
     Answer call(String method, String target, Map<String, String> headers, String body) throws IOException {
         open = false;
         final StringBuilder head =
@@ -53,39 +53,39 @@
         message.writeBytes(head.toString().getBytes(StandardCharsets.US_ASCII));
         message.writeBytes(content);
         socket.getOutputStream().write(message.toByteArray());
-        return read();
+        return readAnswer();
     }
 
-    private Answer read() throws IOException {
-        final String[] statusLine = line().split(" ", 3);
+    private Answer readAnswer() throws IOException {
+        final String[] statusLine = readLine().split(" ", 3);
         final Map<String, String> headers = new HashMap<>();
-        for (String line = line(); !line.isEmpty(); line = line()) {
+        for (String line = readLine(); !line.isEmpty(); line = readLine()) {
             final int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
                     line.substring(colon + 1).strip());
         }
-        final String body = new String(body(headers), StandardCharsets.UTF_8);
+        final String body = new String(readBody(headers), StandardCharsets.UTF_8);
         open = !"close".equalsIgnoreCase(headers.get("connection"));
         return new Answer(Integer.parseInt(statusLine[1]), headers, body);
     }
 
-    private byte[] body(Map<String, String> headers) throws IOException {
+    private byte[] readBody(Map<String, String> headers) throws IOException {
         if (!"chunked".equalsIgnoreCase(headers.get("transfer-encoding"))) {
-            return exactly(Integer.parseInt(headers.getOrDefault("content-length", "0")));
+            return readExactly(Integer.parseInt(headers.getOrDefault("content-length", "0")));
         }
-        final ByteArrayOutputStream whole = new ByteArrayOutputStream();
-        int size = Integer.parseInt(line().strip(), HEX);
+        final ByteArrayOutputStream decoded = new ByteArrayOutputStream();
+        int size = Integer.parseInt(readLine().strip(), HEX_RADIX);
         while (size > 0) {
-            whole.writeBytes(exactly(size));
-            line();
-            size = Integer.parseInt(line().strip(), HEX);
+            decoded.writeBytes(readExactly(size));
+            readLine();
+            size = Integer.parseInt(readLine().strip(), HEX_RADIX);
         }
-        line();
-        return whole.toByteArray();
+        readLine();
+        return decoded.toByteArray();
     }
 
-    private byte[] exactly(int size) throws IOException {
+    private byte[] readExactly(int size) throws IOException {
         final byte[] bytes = input.readNBytes(size);
         if (bytes.length < size) {
             throw new EOFException("the answer ended after " + bytes.length + " of " + size + " bytes");
@@ -93,11 +93,11 @@
         return bytes;
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         final ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next = input.read(); next != '\n'; next = input.read()) {
             if (next < 0) {
-                throw new EOFException("the connection ended within an answer");
+                throw new EOFException("the connection closed within an answer");
             }
             if (next != '\r') {
                 line.write(next);
--- a/src/test/java/org/wigeongrade/platform/soak/SoakAddresses.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakAddresses.java
@@ -8,7 +8,7 @@
 import org.wigeongrade.proof.LoopbackPorts;
 
 /**
- * Loopback addresses of one soak. A control VM listens at one address and is known to the others by another one, where a
+ * Loopback addresses of one soak test. Each control VM binds one address; the other processes use a second one, where a
  * proxy forwards to it. Immutable; safe for use from any thread.
  */
 record SoakAddresses(int firstPort, int controls, int entries) {
@@ -18,7 +18,7 @@
         return new SoakAddresses(LoopbackPorts.freeRow(PORTS), controls, entries);
     }
 
-    List<Integer> forwardedPorts() {
+    List<Integer> proxiedPorts() {
         return List.of(firstPort, firstPort + 1, controlPort());
     }
 
@@ -34,11 +34,11 @@
         return firstPort + 5;
     }
 
-    String knownControlIp(int index) {
+    String proxyControlIp(int index) {
         return "127.78.1." + (index + 1);
     }
 
-    String ownControlIp(int index) {
+    String boundControlIp(int index) {
         return "127.77.1." + (index + 1);
     }
 
@@ -46,10 +46,10 @@
         return "127.77.2." + (index + 1);
     }
 
-    /** Returns where endpoints and operators reach each control VM. */
+    /** Returns the proxied addresses at which endpoints and operators reach the control VMs. */
     List<InetSocketAddress> controlAddresses() {
         return IntStream.range(0, controls)
-                .mapToObj(index -> address(knownControlIp(index), controlPort()))
+                .mapToObj(index -> address(proxyControlIp(index), controlPort()))
                 .toList();
     }
 
--- a/src/test/java/org/wigeongrade/platform/soak/SoakClient.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakClient.java
@@ -8,17 +8,17 @@
 import org.wigeongrade.proof.Await;
 
 /**
- * A client with one connection, which it uses until it ends. Each request is sent once; its outcome is checked.
+ * A client that sends requests over one connection at a time, each request once, and checks the outcomes.
  *
- * <p>Not thread safe; one thread runs it.
+ * <p>Not thread safe; runs on a single thread.
  */
 final class SoakClient implements Runnable {
     private static final int READ_TIMEOUT_MS = 6_000;
-    private static final int FOUND = 200;
+    private static final int OK = 200;
 
     private final int index;
     private final SoakAddresses addresses;
-    private final Promises promises;
+    private final GuaranteeChecker guarantees;
     private final SoakOperator operator;
     private final AtomicBoolean stopped;
     private final Random random;
@@ -27,13 +27,13 @@
     SoakClient(
             int index,
             SoakAddresses addresses,
-            Promises promises,
+            GuaranteeChecker guarantees,
             SoakOperator operator,
             AtomicBoolean stopped,
             Random random) {
         this.index = index;
         this.addresses = addresses;
-        this.promises = promises;
+        this.guarantees = guarantees;
         this.operator = operator;
         this.stopped = stopped;
         this.random = random;
@@ -50,7 +50,7 @@
                     Await.sleepMs(random.nextInt(30));
                 }
             } catch (IOException e) {
-                promises.brokenOff();
+                guarantees.recordIncompleteAnswer();
                 Await.sleepMs(50);
             }
         }
@@ -79,27 +79,27 @@
             headers.put("X-Token-Count", "100,60");
             headers.put("X-Prompt-Prefix", "ab:100");
         }
-        promises.sent(attempt);
+        guarantees.recordSent(attempt);
         final HttpConnection.Answer answer = connection.call("POST", "/" + kind + "/" + attempt, headers, attempt);
-        promises.answered(attempt, answer, !kind.equals("charge"));
+        guarantees.recordAnswer(attempt, answer, !kind.equals("charge"));
         check(attempt, kind, asGuest, answer);
     }
 
     private void check(String attempt, String kind, boolean asGuest, HttpConnection.Answer answer) {
-        if (answer.status() == FOUND) {
-            final String whole = kind.equals("gen")
-                    ? StandinVm.wholeStream()
+        if (answer.status() == OK) {
+            final String expected = kind.equals("gen")
+                    ? FakeEndpointVm.expectedStream()
                     : "ran " + attempt + " /" + kind + "/" + attempt + " " + attempt;
-            if (!answer.body().equals(whole)) {
-                promises.violated("each answer is whole", attempt + " got: " + answer.body());
+            if (!answer.body().equals(expected)) {
+                guarantees.reportViolation("each answer is complete", attempt + " got: " + answer.body());
             }
             if (!("seal-" + attempt).equals(answer.headers().get("x-server-seal"))) {
-                promises.violated("an answer keeps its signature", attempt + " got " + answer.headers());
+                guarantees.reportViolation("an answer keeps its signature", attempt + " got " + answer.headers());
             }
         }
         final boolean denied = answer.status() == 401 || answer.status() == 403 || answer.status() == 404;
         if (denied && !(asGuest && operator.isRevocationSent())) {
-            promises.violated("what is allowed is not denied", attempt + " /" + kind + "/ got " + answer.status());
+            guarantees.reportViolation("an allowed request is not denied", attempt + " /" + kind + "/ got " + answer.status());
         }
     }
 }
--- a/src/test/java/org/wigeongrade/platform/soak/SoakNodes.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakNodes.java
@@ -15,17 +15,17 @@
 import org.wigeongrade.proof.ManagedProcess;
 
 /**
- * The processes of a fleet on loopback, control VMs behind proxies.
+ * The node processes of a fleet on loopback, with the control VMs behind proxies.
  *
- * <p>Invariant: {@link #close} ends every process that was started here, by its id. Thread safe; one fault at a time holds
- * a node.
+ * <p>Invariant: {@link #close} ends every process that was started here, by its id. Thread safe; at most one process fault
+ * affects a node at a time.
  */
 final class SoakNodes implements AutoCloseable {
-    static final int LOSSES_BORNE = 1;
+    static final int TOLERATED_LOSSES = 1;
     private static final String MAIN = "org.wigeongrade.command.Main";
     private static final int GRACE_S = 3;
-    /** Blocks of 512 bytes; some more than the log of a fleet that has just started. */
-    private static final int FEW_BLOCKS = 96;
+    /** File size limit in blocks of 512 bytes, slightly above the log size of a newly started fleet. */
+    private static final int FULL_DISK_BLOCKS = 96;
 
     private final Path folder;
     private final SoakAddresses addresses;
@@ -51,13 +51,13 @@
     }
 
     private List<CuttingProxy> proxiesOf(int control) throws IOException {
-        final List<CuttingProxy> made = new ArrayList<>();
-        for (final int port : addresses.forwardedPorts()) {
-            made.add(new CuttingProxy(
-                    SoakAddresses.address(addresses.knownControlIp(control), port),
-                    SoakAddresses.address(addresses.ownControlIp(control), port)));
+        final List<CuttingProxy> controlProxies = new ArrayList<>();
+        for (final int port : addresses.proxiedPorts()) {
+            controlProxies.add(new CuttingProxy(
+                    SoakAddresses.address(addresses.proxyControlIp(control), port),
+                    SoakAddresses.address(addresses.boundControlIp(control), port)));
         }
-        return made;
+        return controlProxies;
     }
 
     SoakAddresses addresses() {
@@ -73,17 +73,17 @@
         return isControl(node) ? "control-" + node : "entry-" + (node - addresses.controls());
     }
 
-    void cut(int control, CuttingProxy.Mode mode) {
+    void setProxyMode(int control, CuttingProxy.Mode mode) {
         proxies.get(control).forEach(proxy -> proxy.set(mode));
     }
 
-    /** Resets the open connections to a control VM; new ones pass. */
+    /** Resets the open connections to a control VM; new ones are forwarded normally. */
     void resetConnections(int control) {
-        cut(control, CuttingProxy.Mode.RESET);
-        cut(control, CuttingProxy.Mode.PASS);
+        setProxyMode(control, CuttingProxy.Mode.RESET);
+        setProxyMode(control, CuttingProxy.Mode.PASS);
     }
 
-    /** Kills a node and starts it again, with an empty disk if that is lost. */
+    /** Kills a node and restarts it after {@code downMs}, with an empty disk if {@code loseDisk}. */
     void killAndRestart(int node, long downMs, boolean loseDisk) {
         synchronized (locks.get(node)) {
             processes.get(node).kill();
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Stops a node by SIGTERM, kills it after its grace, and starts it again. */
+    /** Stops a node with SIGTERM, kills it after its grace period, and restarts it after {@code downMs}. */
     void stopAndRestart(int node, long downMs) {
         synchronized (locks.get(node)) {
             processes.get(node).terminate();
@@ -105,12 +105,15 @@
         }
     }
 
-    /** Lets a node's disk take few bytes more; the node ends itself or is killed, and starts again with room. */
+    /**
+     * Restarts a node with a file size limit, waits up to {@code forMs} for it to exit, kills it if it has not, and
+     * restarts it without the limit.
+     */
     void fillDisk(int node, long forMs) {
         synchronized (locks.get(node)) {
             processes.get(node).kill();
             writeSettings(node, false);
-            processes.get(node).restartWithFileLimit(FEW_BLOCKS);
+            processes.get(node).restartWithFileLimit(FULL_DISK_BLOCKS);
             final boolean unused = processes.get(node).awaitEnd(forMs);
             processes.get(node).kill();
             restartAfter(node, 0);
@@ -145,16 +148,16 @@
 
     private void writeSettings(int node, boolean bootstrap) {
         final String seeds = IntStream.range(0, Math.min(3, addresses.controls()))
-                .mapToObj(control -> "\"" + addresses.knownControlIp(control) + ":" + addresses.controlPort() + "\"")
+                .mapToObj(control -> "\"" + addresses.proxyControlIp(control) + ":" + addresses.controlPort() + "\"")
                 .collect(Collectors.joining(", "));
         final String ip =
-                isControl(node) ? addresses.knownControlIp(node) : addresses.entryIp(node - addresses.controls());
-        final String own = isControl(node) ? addresses.ownControlIp(node) : ip;
+                isControl(node) ? addresses.proxyControlIp(node) : addresses.entryIp(node - addresses.controls());
+        final String bindIp = isControl(node) ? addresses.boundControlIp(node) : ip;
         final String role = isControl(node)
-                ? "role = \"control\"\ncontrol_listen = \"" + own + ":" + addresses.controlPort()
+                ? "role = \"control\"\ncontrol_listen = \"" + bindIp + ":" + addresses.controlPort()
                         + "\"\ndata_folder = \"" + dataFolder(node) + "\"\n"
-                : "role = \"entry\"\ncaller_listen = \"" + own + ":" + addresses.callerPort()
-                        + "\"\nreadiness_listen = \"" + own + ":" + addresses.readinessPort() + "\"\n";
+                : "role = \"entry\"\ncaller_listen = \"" + bindIp + ":" + addresses.callerPort()
+                        + "\"\nreadiness_listen = \"" + bindIp + ":" + addresses.readinessPort() + "\"\n";
         final String text = """
                 name = "%s"
                 availability_zone = "zone-a"
@@ -171,13 +174,13 @@
                 """.formatted(
                         name(node),
                         ip,
-                        own,
+                        bindIp,
                         addresses.firstPort(),
                         seeds,
                         bootstrap,
-                        LOSSES_BORNE,
-                        StandinVm.HEARTBEAT_MS,
-                        EngineMember.STALL_MS,
+                        TOLERATED_LOSSES,
+                        FakeEndpointVm.HEARTBEAT_MS,
+                        FakeEngine.STALL_MS,
                         SoakOperator.REVOKE_MS,
                         GRACE_S);
         try {
@@ -197,7 +200,7 @@
         }
     }
 
-    /** Returns the logs of every node, to trace a violation. */
+    /** Returns the output of every node, to trace a violation. */
     String logs() {
         return processes.stream()
                 .map(process -> "==== " + process.name() + "\n" + process.output())
--- a/src/test/java/org/wigeongrade/platform/soak/SoakOperator.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakOperator.java
@@ -8,10 +8,10 @@
 import org.wigeongrade.proof.Await;
 
 /**
- * Publishes configurations and reads them back, and checks what is promised about them. One thread publishes, any may read.
+ * Publishes configurations, reads them back and checks their guarantees. Only one thread may publish; any may read.
  *
- * <p>Each version moves the route {@code /move/} to the other plain service. From some version on, the key of the
- * organisation {@code guest} is gone.
+ * <p>Each version switches the route {@code /move/} to the other plain service. Later versions revoke the API key of the
+ * organisation {@code guest}.
  */
 final class SoakOperator {
     static final long REVOKE_MS = 3_000;
@@ -19,97 +19,97 @@
     private static final int ACCEPTED = 200;
     private static final Pattern VERSION = Pattern.compile("\"version\":(\\d+)");
 
-    private final ControlCaller control;
-    private final Promises promises;
-    private final AtomicLong acknowledged = new AtomicLong();
-    private volatile long acknowledgedNanos;
+    private final ControlClient control;
+    private final GuaranteeChecker guarantees;
+    private final AtomicLong acceptedVersion = new AtomicLong();
+    private volatile long lastAcceptedNanos;
     private volatile long revokedNanos;
-    private volatile long lastSent;
+    private volatile long lastSentVersion;
     private volatile boolean revocationSent;
 
-    SoakOperator(ControlCaller control, Promises promises) {
+    SoakOperator(ControlClient control, GuaranteeChecker guarantees) {
         this.control = control;
-        this.promises = promises;
+        this.guarantees = guarantees;
     }
 
-    /** Sends the next version, and again until it is accepted or the patience ends. */
-    boolean publishNext(boolean withGuest, long patienceMs) {
-        final long version = lastSent + 1;
-        lastSent = version;
+    /** Publishes the next version, retrying until it is accepted or the timeout expires. */
+    boolean publishNext(boolean withGuest, long timeoutMs) {
+        final long version = lastSentVersion + 1;
+        lastSentVersion = version;
         revocationSent = revocationSent || !withGuest;
         final String document = document(version, withGuest);
-        final long deadlineNanos = System.nanoTime() + patienceMs * 1_000_000;
+        final long deadlineNanos = System.nanoTime() + timeoutMs * 1_000_000;
         while (System.nanoTime() - deadlineNanos < 0) {
             final Optional<HttpConnection.Answer> answer = control.call("POST", "/-/configuration/replace", document);
-            if (answer.filter(found -> found.status() == ACCEPTED).isPresent()) {
-                noteAccepted(version, withGuest);
+            if (answer.filter(response -> response.status() == ACCEPTED).isPresent()) {
+                recordAccepted(version, withGuest);
                 return true;
             }
-            answer.ifPresent(found -> promises.violated(
-                    "a valid change is accepted", "version " + version + " was answered " + found.status()));
+            answer.ifPresent(response -> guarantees.reportViolation(
+                    "a valid change is accepted", "version " + version + " was answered " + response.status()));
             Await.sleepMs(100);
         }
         return false;
     }
 
-    /** Sends something invalid, which must be refused and change nothing. */
+    /** Publishes an invalid configuration, which must be refused and change nothing. */
     void publishInvalid() {
-        final String broken = document(lastSent + 1, true).replace("\"service\":\"pool\"", "\"service\":\"nowhere\"");
-        control.call("POST", "/-/configuration/replace", broken)
+        final String invalid = document(lastSentVersion + 1, true).replace("\"service\":\"pool\"", "\"service\":\"nowhere\"");
+        control.call("POST", "/-/configuration/replace", invalid)
                 .filter(answer -> answer.status() == ACCEPTED)
-                .ifPresent(answer -> promises.violated("an invalid change is refused", "it was accepted"));
+                .ifPresent(answer -> guarantees.reportViolation("an invalid change is refused", "it was accepted"));
     }
 
-    private void noteAccepted(long version, boolean withGuest) {
+    private void recordAccepted(long version, boolean withGuest) {
         final long nowNanos = System.nanoTime();
-        acknowledgedNanos = nowNanos;
-        acknowledged.accumulateAndGet(version, Math::max);
+        lastAcceptedNanos = nowNanos;
+        acceptedVersion.accumulateAndGet(version, Math::max);
         if (!withGuest && revokedNanos == 0) {
             revokedNanos = nowNanos;
         }
     }
 
-    long acknowledged() {
-        return acknowledged.get();
+    long acceptedVersion() {
+        return acceptedVersion.get();
     }
 
     private boolean isGuestRevoked() {
         return revokedNanos != 0;
     }
 
-    /** Returns whether a change that takes the guest's key away was ever sent; it may be in force. */
+    /** Returns whether a change that revokes the guest's key was ever sent; it may be in force. */
     boolean isRevocationSent() {
         return revocationSent;
     }
 
-    /** Reads the configuration somewhere; it may be missing, but never older than what was accepted. */
+    /** Reads the configuration from some control VM; it may be missing, but must not be older than an accepted one. */
     Optional<Long> read() {
-        final long acceptedBefore = System.nanoTime() - acknowledgedNanos > APPLY_MS * 1_000_000 ? acknowledged() : 0;
+        final long oldestAllowed = System.nanoTime() - lastAcceptedNanos > APPLY_MS * 1_000_000 ? acceptedVersion() : 0;
         final Optional<Long> version = control.call("GET", "/-/configuration/read", "")
                 .filter(answer -> answer.status() == ACCEPTED)
                 .map(answer -> VERSION.matcher(answer.body()))
                 .filter(Matcher::find)
-                .map(found -> Long.parseLong(found.group(1)));
-        version.filter(found -> found < acceptedBefore)
-                .ifPresent(found -> promises.violated(
-                        "a read is never older than an accepted change", found + " after " + acceptedBefore));
+                .map(matched -> Long.parseLong(matched.group(1)));
+        version.filter(matched -> matched < oldestAllowed)
+                .ifPresent(matched -> guarantees.reportViolation(
+                        "a read is never older than an accepted change", matched + " after " + oldestAllowed));
         return version;
     }
 
-    /** Checks that the service, organisation and key that a request ran with were allowed. */
+    /** Checks that a request ran at an allowed service, for an allowed organisation and with a valid key. */
     void checkRun(String path, String service, String organisation, String attempt, long sentNanos) {
-        final boolean plain = !service.equals("pool");
+        final boolean plainService = !service.equals("pool");
         final boolean allowed =
-                path.startsWith("/gen/") ? !plain : path.startsWith("/move/") ? plain : service.equals("app");
+                path.startsWith("/gen/") ? !plainService : path.startsWith("/move/") ? plainService : service.equals("app");
         if (!allowed) {
-            promises.violated("a request runs where its route leads", attempt + " " + path + " ran at " + service);
+            guarantees.reportViolation("a request runs at a service of its route", attempt + " " + path + " ran at " + service);
         }
         if (!"shop".equals(organisation) && !"guest".equals(organisation)) {
-            promises.violated("the key's organisation is passed on", attempt + " ran for " + organisation);
+            guarantees.reportViolation("the organisation of the key is forwarded", attempt + " ran for " + organisation);
         }
         final boolean late = isGuestRevoked() && sentNanos - revokedNanos > REVOKE_MS * 1_000_000;
         if ("guest".equals(organisation) && late) {
-            promises.violated("a key that was taken away is not used", attempt + " ran for guest");
+            guarantees.reportViolation("a revoked key is not accepted", attempt + " ran for guest");
         }
     }
 
@@ -139,7 +139,7 @@
                 "anonymous":false,"sessionAffinity":true,"resumable":true}""".formatted(name, name, kind, service);
     }
 
-    /** Publishes and reads at random moments until the time is over. */
+    /** Publishes and reads at random times for {@code forMs}. */
     void run(Random random, long forMs) {
         final long startNanos = System.nanoTime();
         while (System.nanoTime() - startNanos < forMs * 1_000_000) {
--- a/src/test/java/org/wigeongrade/platform/soak/package-info.java
+++ b/src/test/java/org/wigeongrade/platform/soak/package-info.java
@@ -1,2 +1,2 @@
-/** A randomized soak: the real programs as separate processes, faults from outside, promises checked while it runs. */
+/** A randomized soak test: runs the real programs as separate processes, injects faults and checks guarantees. */
 package org.wigeongrade.platform.soak;
