--- a/src/main/java/org/wigeongrade/fleet/control/ControlNode.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlNode.java
@@ -49,8 +49,8 @@
 
     private static final int MAX_HEADER_BYTES = 16 * 1024;
     /**
-     * Heartbeat interval 120 ms, election timeout 600 to 1,100 ms, lease 500 ms. Callers wait this long when all control
-     * VMs restart.
+     * Heartbeat interval 120 ms, election timeout 600 to 1,100 ms, lease 500 ms. Callers wait this long when all
+     * control VMs restart.
      */
     private static final LogTimings LOG_TIMINGS = LogTimings.ofMs(120, 600, 1_100, 500);
     /** Silence after which a replacement VM takes over a voter's seat; longer than any restart. */
--- a/src/main/java/org/wigeongrade/fleet/control/ControlRequestHandler.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlRequestHandler.java
@@ -30,8 +30,8 @@
 /**
  * Handles requests of operators and endpoint VMs at one control node.
  *
- * <p>Invariants: a change is accepted only once it is on enough disks. A read is answered only by a leader that held its
- * lease before the state was read, so that the response is complete, and after, so that it is never older than an
+ * <p>Invariants: a change is accepted only once it is on enough disks. A read is answered only by a leader that held
+ * its lease before the state was read, so that the response is complete, and after, so that it is never older than an
  * accepted change. Thread safe; holds no lock of its own.
  */
 public final class ControlRequestHandler {
--- a/src/main/java/org/wigeongrade/fleet/control/LeaderLoop.java
+++ b/src/main/java/org/wigeongrade/fleet/control/LeaderLoop.java
@@ -21,8 +21,7 @@
 /**
  * Runs planning steps while this node leads: at a fixed interval, and soon after a group changes.
  *
- * <p>Invariant: all plans of a term come from one {@link LeaderTerm}, and are made only while the lease is held. Thread
- * safe.
+ * <p>Invariant: all plans of a term come from one {@link LeaderTerm}, made only while the lease is held. Thread safe.
  */
 final class LeaderLoop implements AutoCloseable {
     /** Heartbeat intervals after the start of this node before a VM that it has not heard from counts as lost. */
--- a/src/main/java/org/wigeongrade/fleet/control/LeaderTerm.java
+++ b/src/main/java/org/wigeongrade/fleet/control/LeaderTerm.java
@@ -39,8 +39,8 @@
 /**
  * The in-memory state of a leader for one term: groups, routable endpoints, reports of entry nodes and quarantine.
  *
- * <p>Invariant: nothing here outlives the term; a new leader rebuilds everything from heartbeats and pulls. Thread safe;
- * its lock is acquired before that of the registry.
+ * <p>Invariant: nothing here outlives the term; a new leader rebuilds everything from heartbeats and pulls. Thread
+ * safe; its lock is acquired before that of the registry.
  */
 final class LeaderTerm {
     /**
--- a/src/main/java/org/wigeongrade/platform/ConfigurationReader.java
+++ b/src/main/java/org/wigeongrade/platform/ConfigurationReader.java
@@ -61,7 +61,7 @@
                 kind(json.string("kind")),
                 json.integer("timeoutMs"),
                 Math.round(json.number("targetLatencyMs", 0)),
-                // The platform's name means inter-token latency (ITL), but the value bounds the pause between two events.
+                // The name means inter-token latency (ITL), but the value bounds the pause between two events.
                 Math.round(json.number("targetItlMs", 0)),
                 (int) json.number("priority", DEFAULT_PRIORITY),
                 targets(json),
--- a/src/main/java/org/wigeongrade/platform/WireJson.java
+++ b/src/main/java/org/wigeongrade/platform/WireJson.java
@@ -14,8 +14,8 @@
 import org.wigeongrade.errors.WigeongradeException;
 
 /**
- * A JSON object of the platform's wire format, parsed strictly: a field that is missing or has the wrong type is an error
- * that names it. Immutable; safe for use from any thread.
+ * A JSON object of the platform's wire format, parsed strictly: a field that is missing or has the wrong type is an
+ * error that names it. Immutable; safe for use from any thread.
  */
 final class WireJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/src/test/java/org/wigeongrade/platform/soak/FaultInjector.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FaultInjector.java
@@ -9,8 +9,8 @@
 /**
  * Injects random, overlapping faults that depend on a seed. Each fault ends by itself.
  *
- * <p>Invariant: no more disks are lost than the fleet tolerates. Not thread safe; one thread chooses the faults, and each
- * fault runs on its own thread.
+ * <p>Invariant: no more disks are lost than the fleet tolerates. Not thread safe; one thread chooses the faults, and
+ * each fault runs on its own thread.
  */
 final class FaultInjector {
     private static final int MAX_FAULT_MS = 2_500;
--- a/src/test/java/org/wigeongrade/platform/soak/SoakNodes.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakNodes.java
@@ -17,8 +17,8 @@
 /**
  * The node processes of a fleet on loopback, with the control VMs behind proxies.
  *
- * <p>Invariant: {@link #close} ends every process that was started here, by its id. Thread safe; at most one process fault
- * affects a node at a time.
+ * <p>Invariant: {@link #close} ends every process that was started here, by its id. Thread safe; at most one process
+ * fault affects a node at a time.
  */
 final class SoakNodes implements AutoCloseable {
     static final int TOLERATED_LOSSES = 1;
--- a/src/test/java/org/wigeongrade/platform/soak/SoakOperator.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakOperator.java
@@ -10,8 +10,8 @@
 /**
  * Publishes configurations, reads them back and checks their guarantees. Only one thread may publish; any may read.
  *
- * <p>Each version switches the route {@code /move/} to the other plain service. Later versions revoke the API key of the
- * organisation {@code guest}.
+ * <p>Each version switches the route {@code /move/} to the other plain service. Later versions revoke the API key of
+ * the organisation {@code guest}.
  */
 final class SoakOperator {
     static final long REVOKE_MS = 3_000;
