--- a/src/main/java/org/wigeongrade/fleet/control/ControlNode.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlNode.java
@@ -118,7 +118,14 @@
                 events,
                 clock);
         final ControlService service = new ControlService(
-                log, machine, registry, directory, leaderLoop::currentTerm, this::addControlVms, leaderLoop::wake, clock);
+                log,
+                machine,
+                registry,
+                directory,
+                leaderLoop::currentTerm,
+                this::addControlVms,
+                leaderLoop::wake,
+                clock);
         this.nodeServer = new NodeServer(
                 new InetSocketAddress(settings.bindIp(), settings.fleetPort()),
                 new FleetService.Processor<>(service),
@@ -126,7 +133,8 @@
     }
 
     /** Starts to serve; {@code apiFactory} creates the HTTP API for endpoint VMs and operators. */
-    public void start(Function<ControlRequestHandler, Function<CallServer.Call, CompletableFuture<HttpReply>>> apiFactory) {
+    public void start(
+            Function<ControlRequestHandler, Function<CallServer.Call, CompletableFuture<HttpReply>>> apiFactory) {
         nodeServer.start();
         directory.known().forEach(this::addPeer);
         addControlVms(List.of(settings.ip()));
@@ -173,15 +181,19 @@
                         .map(seed -> NodeName.of(seed.ip()))
                         .collect(ImmutableSortedSet.toImmutableSortedSet(NodeName::compareTo))
                 : ImmutableSortedSet.of();
-        final CoreSettings core =
-                new CoreSettings(self, initialVoters, VoterPolicy.bearing(toleratedLosses(), REPLACE_SILENT_VOTER_AFTER_NANOS), LOG_TIMINGS);
+        final CoreSettings core = new CoreSettings(
+                self,
+                initialVoters,
+                VoterPolicy.bearing(toleratedLosses(), REPLACE_SILENT_VOTER_AFTER_NANOS),
+                LOG_TIMINGS);
         final LogSettings logSettings = new LogSettings(
                 core,
                 settings.dataFolder().orElseThrow(),
                 new InetSocketAddress(settings.bindIp(), settings.logPort()),
                 directory,
                 LogSettings.DEFAULT_COMPACT_AFTER_ENTRIES);
-        return RaftReplicatedLog.open(logSettings, new ReplicatedPublishedState(machine), clock, this::haltOnLogFailure);
+        return RaftReplicatedLog.open(
+                logSettings, new ReplicatedPublishedState(machine), clock, this::haltOnLogFailure);
     }
 
     private int toleratedLosses() {
--- a/src/main/java/org/wigeongrade/fleet/control/ControlRequestHandler.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlRequestHandler.java
@@ -157,7 +157,8 @@
 
     private ControlResponse responseTo(PublishedCommand command, long version, PublishOutcome outcome) {
         if (outcome == PublishOutcome.VERSION_TAKEN) {
-            final String message = "version " + version + " is already in force with different content; use a higher version";
+            final String message =
+                    "version " + version + " is already in force with different content; use a higher version";
             events.write(LogEvent.CONFIGURATION_REFUSED, version, self, "version_taken", message);
             return new ControlResponse.Conflict(message);
         }
@@ -193,7 +194,8 @@
                     heartbeat.vm().vm(),
                     heartbeat.vm().incarnation());
         }
-        final boolean wasDraining = sameIncarnation && previous.orElseThrow().heartbeat().draining();
+        final boolean wasDraining =
+                sameIncarnation && previous.orElseThrow().heartbeat().draining();
         if (heartbeat.draining() && !wasDraining) {
             events.write(LogEvent.ENDPOINT_LEAVING, heartbeat.vm());
         }
--- a/src/main/java/org/wigeongrade/fleet/control/ControlService.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlService.java
@@ -98,7 +98,9 @@
                 registry.depart(VmName.of(heartbeat.getVm()));
             }
         } catch (IllegalArgumentException e) {
-            LOGGER.log(System.Logger.Level.WARNING, "dropped a heartbeat relayed by another control VM: " + e.getMessage());
+            LOGGER.log(
+                    System.Logger.Level.WARNING,
+                    "dropped a heartbeat relayed by another control VM: " + e.getMessage());
         }
     }
 
--- a/src/main/java/org/wigeongrade/fleet/control/HeartbeatRelay.java
+++ b/src/main/java/org/wigeongrade/fleet/control/HeartbeatRelay.java
@@ -42,10 +42,7 @@
             final VmName first = vms.poll(waitMs, TimeUnit.MILLISECONDS);
             return first == null
                     ? ImmutableSet.of()
-                    : ImmutableSet.<VmName>builder()
-                            .add(first)
-                            .addAll(drain())
-                            .build();
+                    : ImmutableSet.<VmName>builder().add(first).addAll(drain()).build();
         }
 
         /** Removes and returns all pending VMs without waiting. */
--- a/src/main/java/org/wigeongrade/fleet/control/LeaderTerm.java
+++ b/src/main/java/org/wigeongrade/fleet/control/LeaderTerm.java
@@ -128,8 +128,9 @@
         if (!settled) {
             planner.takeOver(engine, serviceVms, nowNanos);
         }
-        final ImmutableList<GroupOrder> orders =
-                settled ? planner.plan(engine, serviceVms, entryReports.evidenceByVm(nowNanos), nowNanos) : ImmutableList.of();
+        final ImmutableList<GroupOrder> orders = settled
+                ? planner.plan(engine, serviceVms, entryReports.evidenceByVm(nowNanos), nowNanos)
+                : ImmutableList.of();
         final ImmutableMap<VmIncarnation, VmRecord> byIncarnation =
                 serviceVms.stream().collect(ImmutableMap.toImmutableMap(VmRecord::vm, vm -> vm));
         for (final ServingGroup group : planner.serving(engine)) {
@@ -142,7 +143,10 @@
         return orders;
     }
 
-    private void addPlainEndpoints(ImmutableList<VmRecord> serviceVms, Map<VmName, RoutableEndpointTable.RoutableEndpoint> routableByVm, long nowNanos) {
+    private void addPlainEndpoints(
+            ImmutableList<VmRecord> serviceVms,
+            Map<VmName, RoutableEndpointTable.RoutableEndpoint> routableByVm,
+            long nowNanos) {
         final long maxSilentNanos = PLAIN_MAX_MISSED_HEARTBEATS * timings.heartbeatNanos();
         final var evidence = entryReports.evidenceByVm(nowNanos);
         serviceVms.stream()
@@ -151,7 +155,8 @@
                         || Optional.ofNullable(evidence.get(vm.vm().vm()))
                                 .filter(endpointEvidence -> endpointEvidence.progressedWithin(maxSilentNanos, nowNanos))
                                 .isPresent())
-                .forEach(vm -> routableByVm.put(vm.vm().vm(), new RoutableEndpointTable.RoutableEndpoint(vm, Optional.empty(), 1, false)));
+                .forEach(vm -> routableByVm.put(
+                        vm.vm().vm(), new RoutableEndpointTable.RoutableEndpoint(vm, Optional.empty(), 1, false)));
     }
 
     private void recordCrashes(NodeName node, List<CrashRecord> crashes, long nowNanos) {
--- a/src/main/java/org/wigeongrade/fleet/control/PeerExchange.java
+++ b/src/main/java/org/wigeongrade/fleet/control/PeerExchange.java
@@ -125,7 +125,8 @@
     private void recordReachable(long nowNanos) {
         if (!reachable) {
             reachable = true;
-            events.write(LogEvent.PEER_RECONNECTED, peer, TimeUnit.NANOSECONDS.toMillis(nowNanos - unreachableSinceNanos));
+            events.write(
+                    LogEvent.PEER_RECONNECTED, peer, TimeUnit.NANOSECONDS.toMillis(nowNanos - unreachableSinceNanos));
         }
     }
 
--- a/src/main/java/org/wigeongrade/fleet/control/RoutableEndpointTable.java
+++ b/src/main/java/org/wigeongrade/fleet/control/RoutableEndpointTable.java
@@ -66,13 +66,19 @@
     private static boolean isUnchanged(RoutableEndpoint old, RoutableEndpoint updated) {
         final long coldChangeNanos =
                 Math.abs(old.vm().coldUntilNanos() - updated.vm().coldUntilNanos());
-        final boolean bothWarm =
-                old.vm().heartbeat().coldForMs() == 0 && updated.vm().heartbeat().coldForMs() == 0;
+        final boolean bothWarm = old.vm().heartbeat().coldForMs() == 0
+                && updated.vm().heartbeat().coldForMs() == 0;
         return old.vm().vm().equals(updated.vm().vm())
                 && old.model().equals(updated.model())
                 && old.suspect() == updated.suspect()
-                && old.vm().heartbeat().address().equals(updated.vm().heartbeat().address())
-                && old.vm().heartbeat().service().equals(updated.vm().heartbeat().service())
+                && old.vm()
+                        .heartbeat()
+                        .address()
+                        .equals(updated.vm().heartbeat().address())
+                && old.vm()
+                        .heartbeat()
+                        .service()
+                        .equals(updated.vm().heartbeat().service())
                 && (bothWarm || coldChangeNanos <= COLD_START_TOLERANCE_NANOS);
     }
 
--- a/src/main/java/org/wigeongrade/platform/ConfigurationReader.java
+++ b/src/main/java/org/wigeongrade/platform/ConfigurationReader.java
@@ -76,8 +76,7 @@
             case "non_idempotent" -> RouteKind.NON_IDEMPOTENT;
             case "streaming" -> RouteKind.STREAMING;
             default ->
-                throw new WigeongradeException(
-                        ErrorKind.INVALID_CONFIGURATION, "unknown route kind '" + text + "'");
+                throw new WigeongradeException(ErrorKind.INVALID_CONFIGURATION, "unknown route kind '" + text + "'");
         };
     }
 
--- a/src/main/java/org/wigeongrade/platform/ControlApi.java
+++ b/src/main/java/org/wigeongrade/platform/ControlApi.java
@@ -68,12 +68,17 @@
     private CompletableFuture<HttpReply> handleNamedCall(String resourceAndAction, String name, CallServer.Call call) {
         return switch (resourceAndAction) {
             case "instances heartbeat" ->
-                completed(handler.handleHeartbeat(HeartbeatReader.read(name, call.body().array())), call.path());
+                completed(
+                        handler.handleHeartbeat(
+                                HeartbeatReader.read(name, call.body().array())),
+                        call.path());
             case "instances deregister" -> completed(handler.deregister(VmName.of(name)), call.path());
             case "evacuation begin" ->
-                handler.setZone(AvailabilityZone.of(name), true).thenApply(response -> toHttpReply(response, call.path()));
+                handler.setZone(AvailabilityZone.of(name), true)
+                        .thenApply(response -> toHttpReply(response, call.path()));
             case "evacuation finish" ->
-                handler.setZone(AvailabilityZone.of(name), false).thenApply(response -> toHttpReply(response, call.path()));
+                handler.setZone(AvailabilityZone.of(name), false)
+                        .thenApply(response -> toHttpReply(response, call.path()));
             default -> CompletableFuture.completedFuture(HttpReply.text(NOT_FOUND, "unknown method or path\n"));
         };
     }
--- a/src/main/java/org/wigeongrade/platform/HeartbeatReader.java
+++ b/src/main/java/org/wigeongrade/platform/HeartbeatReader.java
@@ -56,8 +56,7 @@
         return switch (state) {
             case "ready" -> false;
             case "draining" -> true;
-            default ->
-                throw new WigeongradeException(ErrorKind.INVALID_CONFIGURATION, "unknown state '" + state + "'");
+            default -> throw new WigeongradeException(ErrorKind.INVALID_CONFIGURATION, "unknown state '" + state + "'");
         };
     }
 
--- a/src/main/java/org/wigeongrade/platform/WireJson.java
+++ b/src/main/java/org/wigeongrade/platform/WireJson.java
@@ -45,7 +45,8 @@
         try {
             return MAPPER.writeValueAsBytes(fields);
         } catch (JsonProcessingException e) {
-            throw new WigeongradeException(ErrorKind.INTERNAL, "the message cannot be serialized: " + e.getMessage(), e);
+            throw new WigeongradeException(
+                    ErrorKind.INTERNAL, "the message cannot be serialized: " + e.getMessage(), e);
         }
     }
 
--- a/src/test/java/org/wigeongrade/platform/soak/FakeEndpointFleet.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FakeEndpointFleet.java
@@ -92,7 +92,8 @@
         }
         final Set<String> ready = readyMembers.getOrDefault(group, Set.of());
         if (group.members().size() != FakeEngine.GROUP_SIZE || !ready.containsAll(group.members())) {
-            guarantees.reportViolation("only complete groups serve", group + " runs a request, but the ready members were " + ready);
+            guarantees.reportViolation(
+                    "only complete groups serve", group + " runs a request, but the ready members were " + ready);
         }
     }
 
@@ -107,7 +108,9 @@
                 .filter(member -> currentGroup.equals(member.group()) && member.mayServe())
                 .isPresent();
         if (headServes) {
-            guarantees.reportViolation("no VM is in two serving groups", vm + " joins " + newGroup + " while the head of " + currentGroup + " serves");
+            guarantees.reportViolation(
+                    "no VM is in two serving groups",
+                    vm + " joins " + newGroup + " while the head of " + currentGroup + " serves");
         }
     }
 
--- a/src/test/java/org/wigeongrade/platform/soak/FakeEngine.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FakeEngine.java
@@ -137,7 +137,8 @@
             return switch (order.path("operation").asText()) {
                 case "join" -> join(order);
                 case "phase" -> DONE;
-                default -> isForCurrentGroup(order) ? change(order.path("operation").asText()) : CONFLICT;
+                default ->
+                    isForCurrentGroup(order) ? change(order.path("operation").asText()) : CONFLICT;
             };
         }
     }
--- a/src/test/java/org/wigeongrade/platform/soak/FaultInjector.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FaultInjector.java
@@ -57,9 +57,18 @@
             case 0 -> start("kill " + nodes.name(node), () -> nodes.killAndRestart(node, forMs, false));
             case 1 -> start("stop " + nodes.name(node), () -> nodes.stopAndRestart(node, forMs));
             case 2 -> start("pause " + nodes.name(node), () -> nodes.pause(node, forMs));
-            case 3 -> start("drop all traffic to control " + control, () -> disturbNetwork(control, CuttingProxy.Mode.SILENT, forMs));
-            case 4 -> start("drop incoming traffic to control " + control, () -> disturbNetwork(control, CuttingProxy.Mode.DEAF, forMs));
-            case 5 -> start("delay traffic to control " + control, () -> disturbNetwork(control, CuttingProxy.Mode.DELAYED, forMs));
+            case 3 ->
+                start(
+                        "drop all traffic to control " + control,
+                        () -> disturbNetwork(control, CuttingProxy.Mode.SILENT, forMs));
+            case 4 ->
+                start(
+                        "drop incoming traffic to control " + control,
+                        () -> disturbNetwork(control, CuttingProxy.Mode.DEAF, forMs));
+            case 5 ->
+                start(
+                        "delay traffic to control " + control,
+                        () -> disturbNetwork(control, CuttingProxy.Mode.DELAYED, forMs));
             case 6 -> start("reset connections to control " + control, () -> nodes.resetConnections(control));
             case 7 -> loseDisk(control, forMs);
             case 8 -> start("crash " + vm.name(), () -> crash(vm, forMs));
--- a/src/test/java/org/wigeongrade/platform/soak/FleetSoakTest.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FleetSoakTest.java
@@ -95,12 +95,16 @@
     }
 
     private static List<Thread> startClients(
-            long seed, SoakAddresses addresses, GuaranteeChecker guarantees, SoakOperator operator, AtomicBoolean stopped) {
+            long seed,
+            SoakAddresses addresses,
+            GuaranteeChecker guarantees,
+            SoakOperator operator,
+            AtomicBoolean stopped) {
         final List<Thread> clients = new ArrayList<>();
         for (int client = 0; client < CLIENTS; client++) {
             final Random random = new Random(seed * CLIENTS + client);
-            clients.add(
-                    start("client-" + client, new SoakClient(client, addresses, guarantees, operator, stopped, random)));
+            clients.add(start(
+                    "client-" + client, new SoakClient(client, addresses, guarantees, operator, stopped, random)));
         }
         return clients;
     }
@@ -118,7 +122,8 @@
         Await.until(what + "; " + guarantees, timeoutMs, () -> guarantees.answerCount(200) >= before + 20);
     }
 
-    private static void report(long seed, GuaranteeChecker guarantees, FaultInjector faults, SoakNodes nodes) throws IOException {
+    private static void report(long seed, GuaranteeChecker guarantees, FaultInjector faults, SoakNodes nodes)
+            throws IOException {
         System.out.println("soak seed " + seed + ": " + faults.injected().size() + " faults, " + guarantees
                 + ", violations " + guarantees.violations());
         final String logs = System.getProperty("soak.logs");
--- a/src/test/java/org/wigeongrade/platform/soak/GuaranteeChecker.java
+++ b/src/test/java/org/wigeongrade/platform/soak/GuaranteeChecker.java
@@ -44,17 +44,22 @@
             reportViolation("a non-idempotent request runs at most once", attempt + " ran " + count + " times");
         }
         if (!idempotent && refusalStatuses.containsKey(attempt)) {
-            reportViolation("a refused request never runs", attempt + " ran after it was refused with " + refusalStatuses.get(attempt));
+            reportViolation(
+                    "a refused request never runs",
+                    attempt + " ran after it was refused with " + refusalStatuses.get(attempt));
         }
     }
 
     /** Records a complete answer that a client received. */
     void recordAnswer(String attempt, HttpConnection.Answer answer, boolean idempotent) {
-        answersByStatus.computeIfAbsent(answer.status(), unused -> new AtomicInteger()).incrementAndGet();
+        answersByStatus
+                .computeIfAbsent(answer.status(), unused -> new AtomicInteger())
+                .incrementAndGet();
         if (!idempotent && NOT_RUN_STATUSES.contains(answer.status())) {
             refusalStatuses.put(attempt, answer.status());
             if (runs.containsKey(attempt)) {
-                reportViolation("a refused request never runs", attempt + " was refused with " + answer.status() + " and ran");
+                reportViolation(
+                        "a refused request never runs", attempt + " was refused with " + answer.status() + " and ran");
             }
         }
         final String echoedAttempt = answer.headers().get("x-attempt-id");
@@ -78,6 +83,7 @@
 
     @Override
     public String toString() {
-        return "answers by status " + answersByStatus + ", incomplete answers " + incompleteAnswers + ", runs " + runs.size();
+        return "answers by status " + answersByStatus + ", incomplete answers " + incompleteAnswers + ", runs "
+                + runs.size();
     }
 }
--- a/src/test/java/org/wigeongrade/platform/soak/SoakClient.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakClient.java
@@ -99,7 +99,8 @@
         }
         final boolean denied = answer.status() == 401 || answer.status() == 403 || answer.status() == 404;
         if (denied && !(asGuest && operator.isRevocationSent())) {
-            guarantees.reportViolation("an allowed request is not denied", attempt + " /" + kind + "/ got " + answer.status());
+            guarantees.reportViolation(
+                    "an allowed request is not denied", attempt + " /" + kind + "/ got " + answer.status());
         }
     }
 }
--- a/src/test/java/org/wigeongrade/platform/soak/SoakOperator.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakOperator.java
@@ -54,7 +54,8 @@
 
     /** Publishes an invalid configuration, which must be refused and change nothing. */
     void publishInvalid() {
-        final String invalid = document(lastSentVersion + 1, true).replace("\"service\":\"pool\"", "\"service\":\"nowhere\"");
+        final String invalid =
+                document(lastSentVersion + 1, true).replace("\"service\":\"pool\"", "\"service\":\"nowhere\"");
         control.call("POST", "/-/configuration/replace", invalid)
                 .filter(answer -> answer.status() == ACCEPTED)
                 .ifPresent(answer -> guarantees.reportViolation("an invalid change is refused", "it was accepted"));
@@ -99,13 +100,16 @@
     /** Checks that a request ran at an allowed service, for an allowed organisation and with a valid key. */
     void checkRun(String path, String service, String organisation, String attempt, long sentNanos) {
         final boolean plainService = !service.equals("pool");
-        final boolean allowed =
-                path.startsWith("/gen/") ? !plainService : path.startsWith("/move/") ? plainService : service.equals("app");
+        final boolean allowed = path.startsWith("/gen/")
+                ? !plainService
+                : path.startsWith("/move/") ? plainService : service.equals("app");
         if (!allowed) {
-            guarantees.reportViolation("a request runs at a service of its route", attempt + " " + path + " ran at " + service);
+            guarantees.reportViolation(
+                    "a request runs at a service of its route", attempt + " " + path + " ran at " + service);
         }
         if (!"shop".equals(organisation) && !"guest".equals(organisation)) {
-            guarantees.reportViolation("the organisation of the key is forwarded", attempt + " ran for " + organisation);
+            guarantees.reportViolation(
+                    "the organisation of the key is forwarded", attempt + " ran for " + organisation);
         }
         final boolean late = isGuestRevoked() && sentNanos - revokedNanos > REVOKE_MS * 1_000_000;
         if ("guest".equals(organisation) && late) {
