--- a/src/main/java/org/wigeongrade/decisions/balancing/BalancedRequest.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/BalancedRequest.java
@@ -6,15 +6,15 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * What decides where a request goes. Immutable; safe for use from any thread.
+ * The properties of a request that decide where it is sent. Immutable; safe for use from any thread.
  *
- * @param promptTokens tokens to read; 0 for a plain service
- * @param targetLatencyMs time to the first event or answer that counts as on time
- * @param targetPauseMs longest pause between two events that counts as on time; 0 where nothing is streamed
+ * @param promptTokens tokens of the prompt; 0 for a plain service
+ * @param targetLatencyMs maximum time to the first event or answer that counts as on time
+ * @param targetPauseMs maximum pause between two events that counts as on time; 0 where nothing is streamed
  * @param remainingMs time until the caller gives up
- * @param tried endpoints that the request was sent to before
- * @param begun whether an endpoint may have worked on the request; giving it up would waste that
- * @param zone availability zone of this entry node
+ * @param tried endpoints that the request has already been sent to
+ * @param mayHaveStarted whether an endpoint may have started the request; refusing it now would waste that work
+ * @param zone availability zone of the entry node
  */
 public record BalancedRequest(
         int promptTokens,
@@ -22,7 +22,7 @@
         long targetPauseMs,
         long remainingMs,
         Set<VmName> tried,
-        boolean begun,
+        boolean mayHaveStarted,
         AvailabilityZone zone) {
     public BalancedRequest {
         tried = ImmutableSet.copyOf(tried);
--- a/src/main/java/org/wigeongrade/decisions/balancing/Balancer.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/Balancer.java
@@ -9,46 +9,68 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Sends each request to the endpoint where it is predicted to be answered first.
+ * Places each request on the endpoint with the lowest cost, which is mainly the predicted time to the answer.
  *
- * <p>Endpoints that failed of late or stand still are used only if there is no other one. Stateless but for the random
- * numbers; not thread safe.
+ * <p>Endpoints that recently failed, are suspect or are stalled are used only if there is no other one. Stateless
+ * except for the random number generator; not thread safe.
  */
 public final class Balancer {
-    /** Requests that may wait at a full endpoint; one pass frees about as many places as this. */
-    private static final int QUEUED_AT_FULL = 2;
-    /** Time without a byte from an endpoint with requests after which it gets no new ones. */
-    private static final long STANDSTILL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-    /** Passes of an engine without a byte that are usual while streams run: one more may wait for its last bytes. */
-    private static final int USUAL_SILENT_PASSES = 2;
-    /** Cost of each millisecond of silence beyond the usual, since whoever is sent there waits at least as long again. */
-    private static final double SILENCE_WEIGHT = 2;
-    /** Cost of another availability zone, in milliseconds: the way there and back, and what the bytes are worth. */
-    private static final double OTHER_ZONE_MS = 4;
+    /** Maximum number of requests that wait at a full endpoint; one pass frees about as many slots. */
+    private static final int MAX_QUEUED_PER_ENDPOINT = 2;
+    /** Time without a byte after which an endpoint with requests in flight counts as stalled and gets no new ones. */
+    private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    /**
+     * Number of engine passes without a byte that are normal while streams run: the current pass, and one more whose
+     * last bytes may not have arrived yet.
+     */
+    private static final int EXPECTED_SILENT_PASSES = 2;
+    /**
+     * Cost of each millisecond of silence beyond the expected time; a request sent there waits at least as long again.
+     */
+    private static final double EXCESS_SILENCE_WEIGHT = 2;
+    /** Cost of another availability zone, in milliseconds: the round trip and the price of the traffic. */
+    private static final double CROSS_ZONE_COST_MS = 4;
     /** Cost of each millisecond by which the predicted pause exceeds the target. */
-    private static final double LATE_PAUSE_WEIGHT = 4;
+    private static final double EXCESS_PAUSE_WEIGHT = 4;
     /** Cost of an endpoint that fails all of its requests, in milliseconds. */
-    private static final double FAILURE_MS = 2_000;
-    /** Times the target that the predicted first event may take; a later one is worth little and delays others. */
-    private static final double LATEST_FACTOR = 1.05;
-    /** Times the usual time from which on an endpoint counts as slow; nearly nothing is on time there. */
-    private static final double SLOW_FACTOR = 1.8;
-    /** Times the target at a slow endpoint, where a late answer delays no other one that could be on time. */
-    private static final double LATEST_AT_SLOW_FACTOR = 2.5;
-    /** Nodes up to which each one compares every endpoint: between two views they send less than one request to each. */
-    private static final int NODES_THAT_COMPARE_ALL = 10;
-    /** Endpoints that are compared at least; the choice of the better of two avoids most of the imbalance. */
-    private static final int FEWEST_COMPARED = 3;
-    /** Spread of random factors on the cost, so that entry nodes with the same view do not all choose the same endpoint. */
-    private static final double JITTER = 0.15;
-    /** Time to the answer of a plain endpoint that is idle; a moving average corrects it. */
+    private static final double FAILURE_COST_MS = 2_000;
+    /**
+     * Maximum predicted time to the first event as a multiple of the target; a later answer is worth little and delays
+     * others.
+     */
+    private static final double MAX_LATENCY_FACTOR = 1.05;
+    /** Slowness from which on an endpoint counts as slow; almost no answer is on time there. */
+    private static final double SLOW_ENDPOINT_FACTOR = 1.8;
+    /**
+     * Maximum predicted time at a slow endpoint as a multiple of the target; a late answer there delays none that could
+     * be on time.
+     */
+    private static final double MAX_LATENCY_FACTOR_AT_SLOW = 2.5;
+    /**
+     * Number of entry nodes up to which each compares all endpoints: between two views, that many send each endpoint
+     * less than one request.
+     */
+    private static final int MAX_NODES_COMPARING_ALL = 10;
+    /** Minimum number of endpoints to compare; comparing two already avoids most of the imbalance. */
+    private static final int MIN_SAMPLE_SIZE = 3;
+    /**
+     * Range of the random factor on the cost, which keeps entry nodes with the same view from all choosing the same
+     * endpoint.
+     */
+    private static final double COST_JITTER = 0.15;
+    /**
+     * Assumed time to the answer of an idle plain endpoint, in milliseconds; the endpoint's moving average corrects it.
+     */
     private static final double PLAIN_ANSWER_MS = 40;
-    /** Longest time after which a refused caller comes back, in milliseconds: a lost group is formed again within it. */
-    private static final long LONGEST_RETRY_MS = 2_000;
-    /** Part of the time left that callers wait at most before they come back. */
-    private static final double RETRY_PART_OF_REMAINING = 1.0 / 3;
-    /** Callers that are refused together come back spread over this part of the time, so that they fit. */
-    private static final double RETRY_SPREAD = 0.5;
+    /** Maximum time until a refused caller should retry, in milliseconds; a lost group is formed again within it. */
+    private static final long MAX_RETRY_AFTER_MS = 2_000;
+    /** Maximum ratio of a caller's remaining time that it should wait before it retries. */
+    private static final double MAX_RETRY_RATIO_OF_REMAINING = 1.0 / 3;
+    /**
+     * Callers that are refused together are spread over this last part of the wait, as a ratio, so that there is
+     * capacity for them.
+     */
+    private static final double RETRY_JITTER = 0.5;
 
     private final RandomGenerator random;
 
@@ -57,7 +79,7 @@
     }
 
     /**
-     * Chooses among endpoints that may serve the request.
+     * Chooses one of the endpoints that serve the request's target, or refuses the request.
      *
      * @param engine present where the endpoints are groups of one model
      */
@@ -73,37 +95,37 @@
         if (untried.isEmpty()) {
             return Placement.refused(Placement.Refusal.NONE_SERVES, 0, retryAfterMs(request));
         }
-        final double usualSlowness = usualSlowness(endpoints);
-        final List<EndpointLoad> open = untried.stream()
-                .filter(endpoint -> hasRoom(endpoint, engine, limits, nowNanos)
-                        && isInTime(endpoint, request, engine, usualSlowness))
+        final double medianSlowness = medianSlowness(endpoints);
+        final List<EndpointLoad> available = untried.stream()
+                .filter(endpoint -> hasCapacity(endpoint, engine, limits, nowNanos)
+                        && isInTime(endpoint, request, engine, medianSlowness))
                 .toList();
-        if (open.isEmpty()) {
+        if (available.isEmpty()) {
             return Placement.refused(Placement.Refusal.ALL_BUSY, untried.size(), retryAfterMs(request));
         }
-        final List<EndpointLoad> sound =
-                open.stream().filter(endpoint -> isSound(endpoint, nowNanos)).toList();
-        final EndpointLoad chosen = sample(sound.isEmpty() ? open : sound, limits.entryNodes()).stream()
-                .map(endpoint -> new Costed(endpoint, cost(endpoint, request, engine, usualSlowness, nowNanos)))
-                .min(Comparator.comparingDouble(Costed::cost))
+        final List<EndpointLoad> healthy =
+                available.stream().filter(endpoint -> isHealthy(endpoint, nowNanos)).toList();
+        final EndpointLoad chosen = sample(healthy.isEmpty() ? available : healthy, limits.entryNodes()).stream()
+                .map(endpoint -> new EndpointCost(endpoint, cost(endpoint, request, engine, medianSlowness, nowNanos)))
+                .min(Comparator.comparingDouble(EndpointCost::cost))
                 .orElseThrow()
                 .endpoint();
-        return Placement.at(chosen, predictedMs(chosen, request, engine, usualSlowness), open.size());
+        return Placement.at(chosen, predictedMs(chosen, request, engine, medianSlowness), available.size());
     }
 
-    private static boolean isSound(EndpointLoad endpoint, long nowNanos) {
+    private static boolean isHealthy(EndpointLoad endpoint, long nowNanos) {
         return !endpoint.isAvoided(nowNanos)
                 && !endpoint.isSuspect()
-                && endpoint.stalledNanos(nowNanos) < STANDSTILL_NANOS;
+                && endpoint.stalledNanos(nowNanos) < STALL_NANOS;
     }
 
     /**
-     * Returns all endpoints while few nodes choose, and a random part of them while many do: they would otherwise all send
-     * to the same endpoint until the next view shows it.
+     * Returns all endpoints if there are few entry nodes, and a random sample if there are many. Otherwise, all nodes
+     * would send to the same endpoint until the next view shows its load.
      */
     private List<EndpointLoad> sample(List<EndpointLoad> endpoints, int entryNodes) {
-        final double part = (double) NODES_THAT_COMPARE_ALL / Math.max(1, entryNodes);
-        final int size = Math.max(FEWEST_COMPARED, (int) Math.ceil(part * endpoints.size()));
+        final double ratio = (double) MAX_NODES_COMPARING_ALL / Math.max(1, entryNodes);
+        final int size = Math.max(MIN_SAMPLE_SIZE, (int) Math.ceil(ratio * endpoints.size()));
         if (size >= endpoints.size()) {
             return endpoints;
         }
@@ -114,86 +136,90 @@
         return shuffled.subList(0, size);
     }
 
-    private record Costed(EndpointLoad endpoint, double cost) {}
+    private record EndpointCost(EndpointLoad endpoint, double cost) {}
 
-    private static boolean hasRoom(
+    private static boolean hasCapacity(
             EndpointLoad endpoint, Optional<EngineModel> engine, BalancingLimits limits, long nowNanos) {
         if (endpoint.isCold(nowNanos)
                 && endpoint.sendsInLastSecond(nowNanos) + 1 > Math.max(1, limits.coldSendsPerSecond())) {
             return false;
         }
         final int slots = engine.map(EngineModel::slots).orElse(endpoint.slots());
-        return endpoint.running() < slots + QUEUED_AT_FULL;
+        return endpoint.running() < slots + MAX_QUEUED_PER_ENDPOINT;
     }
 
-    /** Returns whether a request that is sent here now would get its first event early enough. */
+    /**
+     * Returns whether the endpoint is predicted to send the first event in time. Always true for plain endpoints and
+     * for requests that may have started.
+     */
     private static boolean isInTime(
-            EndpointLoad endpoint, BalancedRequest request, Optional<EngineModel> engine, double usualSlowness) {
-        if (engine.isEmpty() || request.begun()) {
+            EndpointLoad endpoint, BalancedRequest request, Optional<EngineModel> engine, double medianSlowness) {
+        if (engine.isEmpty() || request.mayHaveStarted()) {
             return true;
         }
-        final boolean slow = slowness(endpoint, usualSlowness) >= SLOW_FACTOR;
-        return predictedMs(endpoint, request, engine, usualSlowness)
-                <= (slow ? LATEST_AT_SLOW_FACTOR : LATEST_FACTOR) * request.targetLatencyMs();
+        final boolean slow = slowness(endpoint, medianSlowness) >= SLOW_ENDPOINT_FACTOR;
+        return predictedMs(endpoint, request, engine, medianSlowness)
+                <= (slow ? MAX_LATENCY_FACTOR_AT_SLOW : MAX_LATENCY_FACTOR) * request.targetLatencyMs();
     }
 
-    /** Returns the middle one of the endpoints' slowness, since load slows all of them alike. */
-    private static double usualSlowness(List<EndpointLoad> endpoints) {
+    /** Returns the median slowness of the endpoints; the median is used because load slows all of them alike. */
+    private static double medianSlowness(List<EndpointLoad> endpoints) {
         final double[] sorted =
                 endpoints.stream().mapToDouble(EndpointLoad::slowness).sorted().toArray();
         return sorted[(sorted.length - 1) / 2];
     }
 
-    private static double slowness(EndpointLoad endpoint, double usualSlowness) {
-        return endpoint.paceFactor() * Math.max(1, endpoint.slowness() / usualSlowness);
+    private static double slowness(EndpointLoad endpoint, double medianSlowness) {
+        return endpoint.paceFactor() * Math.max(1, endpoint.slowness() / medianSlowness);
     }
 
     private double cost(
             EndpointLoad endpoint,
             BalancedRequest request,
             Optional<EngineModel> engine,
-            double usualSlowness,
+            double medianSlowness,
             long nowNanos) {
-        final double firstMs = predictedMs(endpoint, request, engine, usualSlowness);
+        final double firstEventMs = predictedMs(endpoint, request, engine, medianSlowness);
         final double pauseMs =
                 engine.map(model -> model.passMs(endpoint.running() + 1)).orElse(0.0)
-                        * slowness(endpoint, usualSlowness);
-        final double latePauseMs = request.targetPauseMs() == 0 ? 0 : Math.max(0, pauseMs - request.targetPauseMs());
-        final double zoneMs = endpoint.zone().equals(request.zone()) ? 0 : OTHER_ZONE_MS;
-        final double jitter = 1 + JITTER * random.nextDouble();
-        final double silentMs =
-                engine.map(model -> unusualSilenceMs(endpoint, model, nowNanos)).orElse(0.0);
-        return (firstMs + pauseMs + zoneMs) * jitter
-                + SILENCE_WEIGHT * silentMs
-                + LATE_PAUSE_WEIGHT * latePauseMs
-                + FAILURE_MS * endpoint.failureRate();
+                        * slowness(endpoint, medianSlowness);
+        final double excessPauseMs = request.targetPauseMs() == 0 ? 0 : Math.max(0, pauseMs - request.targetPauseMs());
+        final double zoneMs = endpoint.zone().equals(request.zone()) ? 0 : CROSS_ZONE_COST_MS;
+        final double jitter = 1 + COST_JITTER * random.nextDouble();
+        final double excessSilenceMs =
+                engine.map(model -> excessSilenceMs(endpoint, model, nowNanos)).orElse(0.0);
+        return (firstEventMs + pauseMs + zoneMs) * jitter
+                + EXCESS_SILENCE_WEIGHT * excessSilenceMs
+                + EXCESS_PAUSE_WEIGHT * excessPauseMs
+                + FAILURE_COST_MS * endpoint.failureRate();
     }
 
-    /** Returns for how much longer than usual the group has sent no byte while streams run there, in milliseconds. */
-    private static double unusualSilenceMs(EndpointLoad endpoint, EngineModel model, long nowNanos) {
-        if (endpoint.writing() == 0) {
+    /** Returns by how much a group with running streams has been silent for longer than expected, in milliseconds. */
+    private static double excessSilenceMs(EndpointLoad endpoint, EngineModel model, long nowNanos) {
+        if (endpoint.runningStreams() == 0) {
             return 0;
         }
         final double silentMs = endpoint.stalledNanos(nowNanos) / 1e6;
-        final double usualMs =
-                USUAL_SILENT_PASSES * model.passMs(endpoint.running()) + model.readMs(endpoint.unreadTokens());
-        return Math.max(0, silentMs - usualMs * endpoint.paceFactor());
+        final double expectedMs =
+                EXPECTED_SILENT_PASSES * model.passMs(endpoint.running()) + model.prefillMs(endpoint.pendingPromptTokens());
+        return Math.max(0, silentMs - expectedMs * endpoint.paceFactor());
     }
 
     private static double predictedMs(
-            EndpointLoad endpoint, BalancedRequest request, Optional<EngineModel> engine, double usualSlowness) {
+            EndpointLoad endpoint, BalancedRequest request, Optional<EngineModel> engine, double medianSlowness) {
         final double idealMs = engine.map(model ->
-                        model.firstEventMs(endpoint.running(), endpoint.unreadTokens(), request.promptTokens()))
+                        model.firstEventMs(endpoint.running(), endpoint.pendingPromptTokens(), request.promptTokens()))
                 .orElseGet(() -> PLAIN_ANSWER_MS * (1 + (double) endpoint.running() / Math.max(1, endpoint.slots())));
-        return idealMs * slowness(endpoint, usualSlowness);
+        return idealMs * slowness(endpoint, medianSlowness);
     }
 
     /**
-     * Returns when a refused caller should come back, in milliseconds. An answer would be late in any case, and callers
-     * come back only once: so as late as they agree to wait, when what was lost is formed again or the rush is over.
+     * Returns after how many milliseconds a refused caller should retry. Its answer will be late in any case and
+     * callers retry only once, so the delay is as long as they are willing to wait: by then, lost groups may have been
+     * formed again or the load peak may be over.
      */
     private long retryAfterMs(BalancedRequest request) {
-        final double longestMs = Math.min(LONGEST_RETRY_MS, RETRY_PART_OF_REMAINING * request.remainingMs());
-        return Math.round(longestMs * (1 - RETRY_SPREAD * random.nextDouble()));
+        final double maxMs = Math.min(MAX_RETRY_AFTER_MS, MAX_RETRY_RATIO_OF_REMAINING * request.remainingMs());
+        return Math.round(maxMs * (1 - RETRY_JITTER * random.nextDouble()));
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/balancing/BalancingLimits.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/BalancingLimits.java
@@ -1,9 +1,9 @@
 package org.wigeongrade.decisions.balancing;
 
 /**
- * Bounds of one entry node's choices. Immutable; safe for use from any thread.
+ * Limits for the placement decisions of one entry node. Immutable; safe for use from any thread.
  *
- * @param coldSendsPerSecond requests that this node may send to one cold endpoint in a second
- * @param entryNodes nodes that choose by nearly the same view
+ * @param coldSendsPerSecond maximum requests per second that this node sends to one cold endpoint
+ * @param entryNodes number of entry nodes, which all decide on nearly the same view
  */
 public record BalancingLimits(double coldSendsPerSecond, int entryNodes) {}
--- a/src/main/java/org/wigeongrade/decisions/balancing/EndpointLoad.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/EndpointLoad.java
@@ -10,14 +10,14 @@
 import org.wigeongrade.ids.VmIncarnation;
 
 /**
- * One endpoint as one entry node sees it: what it is, what runs there, and how it answered of late.
+ * One entry node's knowledge of an endpoint: its properties, its load and its recent latency and failures.
  *
  * <p>Time is a parameter, on the monotonic clock. Not thread safe.
  */
 public final class EndpointLoad {
-    /** Weight of the newest observation in a moving average; about the last dozen answers count. */
+    /** Weight of the newest observation in a moving average; about the last 12 answers count. */
     private static final double NEWEST_WEIGHT = 0.15;
-    /** An endpoint that failed is avoided for this long, doubled for each failure in a row. */
+    /** Time for which a failed endpoint is avoided; doubled for each further consecutive failure. */
     private static final long AVOID_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private static final int MAX_AVOID_DOUBLINGS = 4;
@@ -33,17 +33,17 @@
     private long coldUntilNanos;
     private boolean suspect;
     private int inFlight;
-    private int writing;
+    private int runningStreams;
     private int inFlightElsewhere;
-    private int unreadTokens;
-    private int unreadTokensElsewhere;
-    private long progressNanos;
-    private long activeNanos;
+    private int pendingPromptTokens;
+    private int pendingPromptTokensElsewhere;
+    private long lastProgressNanos;
+    private long lastActiveNanos;
     private boolean progressedSinceReport;
     private boolean refusedSinceReport;
     private double slowness = 1;
     private double failureRate;
-    private int failuresInRow;
+    private int consecutiveFailures;
     private long avoidUntilNanos = Long.MIN_VALUE;
     private final Deque<Long> sendsNanos = new ArrayDeque<>();
 
@@ -65,8 +65,8 @@
         this.slots = slots;
         this.paceFactor = paceFactor;
         this.coldUntilNanos = coldUntilNanos;
-        this.progressNanos = nowNanos;
-        this.activeNanos = nowNanos;
+        this.lastProgressNanos = nowNanos;
+        this.lastActiveNanos = nowNanos;
     }
 
     public VmIncarnation vm() {
@@ -85,7 +85,7 @@
         return zone;
     }
 
-    /** Returns the model that the endpoint serves as the head of a group; empty for a plain endpoint. */
+    /** Returns the model that the endpoint serves as head of a group; empty for a plain endpoint. */
     public Optional<ModelVersionName> model() {
         return model;
     }
@@ -94,17 +94,20 @@
         return slots;
     }
 
-    /** Takes the news of when the cold start ends. */
+    /** Sets the end of the cold start. */
     public void coldUntil(long deadlineNanos) {
         coldUntilNanos = deadlineNanos;
     }
 
-    /** Takes the news of whether the leader doubts that every member of the group is there. */
+    /** Sets whether the leader suspects that a member of the group has failed. */
     public void suspected(boolean isSuspect) {
         suspect = isSuspect;
     }
 
-    /** Returns whether new requests should go elsewhere, since the leader doubts that the group is whole. */
+    /**
+     * Returns whether the leader suspects that a member of the group has failed, so that new requests should go
+     * elsewhere.
+     */
     public boolean isSuspect() {
         return suspect;
     }
@@ -113,38 +116,41 @@
         return nowNanos - coldUntilNanos < 0;
     }
 
-    /** Takes the requests that other entry nodes have at the endpoint, and the prompt tokens not read of these. */
+    /**
+     * Sets the number of requests that other entry nodes have in flight at the endpoint, and the prompt tokens of these
+     * that wait for prefill.
+     */
     public void elsewhere(int requests, int promptTokens) {
         inFlightElsewhere = requests;
-        unreadTokensElsewhere = promptTokens;
+        pendingPromptTokensElsewhere = promptTokens;
     }
 
-    /** Returns the factor on the group's times that comes from its place in the fabric; 1 if it has none. */
+    /** Returns the factor by which the group's position in the fabric multiplies its latencies; 1 if it has none. */
     public double paceFactor() {
         return paceFactor;
     }
 
-    /** Returns the prompt tokens that were sent to the endpoint and are not read yet, those of other nodes included. */
-    public int unreadTokens() {
-        return unreadTokens + unreadTokensElsewhere;
+    /** Returns the prompt tokens sent to the endpoint that wait for prefill, including those from other nodes. */
+    public int pendingPromptTokens() {
+        return pendingPromptTokens + pendingPromptTokensElsewhere;
     }
 
-    /** Returns the prompt tokens that this node sent and that are not read yet. */
+    /** Returns the prompt tokens sent by this node that wait for prefill. */
     public int ownUnreadTokens() {
-        return unreadTokens;
+        return pendingPromptTokens;
     }
 
-    /** Counts a prompt that is sent now. */
+    /** Records that a prompt is sent now. */
     public void reads(int promptTokens) {
-        unreadTokens += promptTokens;
+        pendingPromptTokens += promptTokens;
     }
 
-    /** Counts a prompt that was read, or whose request ended before. */
+    /** Records that the prefill of a prompt has finished, or that its request ended before that. */
     public void hasRead(int promptTokens) {
-        unreadTokens -= promptTokens;
+        pendingPromptTokens -= promptTokens;
     }
 
-    /** Returns the requests at the endpoint, those of other entry nodes included. */
+    /** Returns the number of requests in flight at the endpoint, including those of other entry nodes. */
     public int running() {
         return inFlight + inFlightElsewhere;
     }
@@ -153,117 +159,117 @@
         return inFlight;
     }
 
-    /** Counts a request that is sent now. */
+    /** Records that a request is sent now. */
     public void sent(long nowNanos) {
         if (inFlight == 0) {
-            progressNanos = nowNanos;
+            lastProgressNanos = nowNanos;
         }
         inFlight++;
-        activeNanos = nowNanos;
+        lastActiveNanos = nowNanos;
         sendsNanos.addLast(nowNanos);
-        forgetSends(nowNanos);
+        removeOldSends(nowNanos);
     }
 
-    /** Counts a stream whose first event came. */
+    /** Records that the first event of a stream has arrived. */
     public void beganWriting() {
-        writing++;
+        runningStreams++;
     }
 
-    /** Counts the end of a stream whose first event had come. */
+    /** Records the end of a stream whose first event had arrived. */
     public void endedWriting() {
-        writing--;
+        runningStreams--;
     }
 
-    /** Returns the streams of this node that had their first event and have not ended. */
-    public int writing() {
-        return writing;
+    /** Returns the number of this node's streams whose first event has arrived and that have not ended. */
+    public int runningStreams() {
+        return runningStreams;
     }
 
-    /** Counts the end of a request. */
+    /** Records the end of a request. */
     public void ended(long nowNanos) {
         inFlight--;
-        activeNanos = nowNanos;
+        lastActiveNanos = nowNanos;
     }
 
-    /** Takes the news that bytes of an answer came. */
+    /** Records that bytes of an answer have arrived. */
     public void progressed(long nowNanos) {
-        progressNanos = nowNanos;
+        lastProgressNanos = nowNanos;
         progressedSinceReport = true;
     }
 
-    /** Takes the time that an answer or event took against the predicted one. */
+    /** Updates the slowness by the measured and the predicted time of an answer or event. */
     public void observed(double tookMs, double predictedMs) {
         final double ratio = Math.max(0.5, Math.min(20, tookMs / Math.max(1, predictedMs)));
         slowness += NEWEST_WEIGHT * (ratio - slowness);
     }
 
-    /** Takes the news that an answer was whole. */
+    /** Records that an answer is complete; the endpoint is no longer avoided. */
     public void succeeded() {
         failureRate -= NEWEST_WEIGHT * failureRate;
-        failuresInRow = 0;
+        consecutiveFailures = 0;
         avoidUntilNanos = Long.MIN_VALUE;
     }
 
-    /** Takes the news that the endpoint failed or refused a request; it is avoided for a while. */
+    /** Records that the endpoint failed or refused a request; it is avoided for a while. */
     public void failed(long nowNanos) {
         failureRate += NEWEST_WEIGHT * (1 - failureRate);
-        final int doublings = Math.min(failuresInRow, MAX_AVOID_DOUBLINGS);
-        failuresInRow++;
+        final int doublings = Math.min(consecutiveFailures, MAX_AVOID_DOUBLINGS);
+        consecutiveFailures++;
         avoidUntilNanos = nowNanos + (AVOID_NANOS << doublings);
     }
 
-    /** Takes the news that the endpoint refused a connection. */
+    /** Records that the endpoint refused a connection, which also counts as a failure. */
     public void refusedConnection(long nowNanos) {
         refusedSinceReport = true;
         failed(nowNanos);
     }
 
-    /** Returns whether the endpoint should get nothing now because it failed of late. */
+    /** Returns whether the endpoint should get no requests now because it recently failed. */
     public boolean isAvoided(long nowNanos) {
         return avoidUntilNanos != Long.MIN_VALUE && nowNanos - avoidUntilNanos < 0;
     }
 
-    /** Returns the part of the latest answers that failed, from 0 to 1. */
+    /** Returns the moving average of the failure rate, from 0 to 1. */
     public double failureRate() {
         return failureRate;
     }
 
-    /** Returns how many times longer than predicted the endpoint takes. */
+    /** Returns the moving average of the measured time divided by the predicted time. */
     public double slowness() {
         return slowness;
     }
 
-    /** Returns the time since bytes of an answer came, while requests are here; 0 if there are none. */
+    /** Returns the time since the last bytes of an answer arrived; 0 if this node has no requests in flight. */
     public long stalledNanos(long nowNanos) {
-        return inFlight == 0 ? 0 : nowNanos - progressNanos;
+        return inFlight == 0 ? 0 : nowNanos - lastProgressNanos;
     }
 
-    /** Returns the requests that were sent here within the last second. */
+    /** Returns the number of requests that this node sent to the endpoint within the last second. */
     public int sendsInLastSecond(long nowNanos) {
-        forgetSends(nowNanos);
+        removeOldSends(nowNanos);
         return sendsNanos.size();
     }
 
-    /** Returns whether anything happened here within the time before now. */
+    /** Returns whether requests are in flight, or one was sent or ended within the given duration before now. */
     public boolean wasActiveWithin(long nanos, long nowNanos) {
-        return inFlight > 0 || nowNanos - activeNanos <= nanos;
+        return inFlight > 0 || nowNanos - lastActiveNanos <= nanos;
     }
 
-    /** Returns whether bytes came since the last call. */
+    /** Returns whether bytes have arrived since the last call, and resets this. */
     public boolean takeProgressed() {
         final boolean taken = progressedSinceReport;
         progressedSinceReport = false;
         return taken;
     }
 
-    /** Returns whether a connection was refused since the last call. */
+    /** Returns whether a connection has been refused since the last call, and resets this. */
     public boolean takeRefusedConnection() {
         final boolean taken = refusedSinceReport;
         refusedSinceReport = false;
         return taken;
     }
 
-    private void forgetSends(long nowNanos) {
+    private void removeOldSends(long nowNanos) {
         while (!sendsNanos.isEmpty() && nowNanos - sendsNanos.peekFirst() >= SECOND_NANOS) {
             sendsNanos.removeFirst();
         }
--- a/src/main/java/org/wigeongrade/decisions/balancing/EngineModel.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/EngineModel.java
@@ -4,81 +4,82 @@
 import org.wigeongrade.decisions.published.GroupedModel;
 
 /**
- * Predicts how long a group takes, from the published profile of its engine and what was observed. Not thread safe.
+ * Predicts the latency of a group from the published profile of its engine and from measured latencies. Not thread
+ * safe.
  *
- * <p>An engine works in passes: each pass reads pieces of waiting prompts and then runs some token steps for all requests
- * that write. An event holds the tokens of one pass.
+ * <p>An engine works in passes: each pass prefills chunks of waiting prompts and then runs several decode steps for all
+ * decoding requests. An event carries the tokens of one pass.
  */
 public final class EngineModel {
     private static final double MS_PER_SECOND = 1_000;
     private static final double PAIRS_PER_MILLION = 1e6;
     private static final double TOKENS_PER_KILOTOKEN = 1_000;
-    /** Prompt tokens of context assumed for a request that runs; the users' mean prompt. */
-    private static final double USUAL_CONTEXT_TOKENS = 1_100;
-    /** Events of an answer assumed for a request that runs; the users' mean answer. */
-    private static final double USUAL_EVENTS = 23;
+    /** Assumed context of a running request, in tokens: the users' mean prompt. */
+    private static final double MEAN_CONTEXT_TOKENS = 1_100;
+    /** Assumed number of events of a running request: the users' mean answer. */
+    private static final double MEAN_EVENTS_PER_ANSWER = 23;
 
     private final EngineProfile engine;
-    private final double pace;
+    private final double paceFactor;
     private final LearnedOverhead overhead;
 
-    /** @param overhead what first events took longer than the profile says; learned by the node that predicts */
+    /** @param overhead time by which first events come later than the profile predicts, as learned by this node */
     public EngineModel(EngineProfile engine, GroupedModel model, LearnedOverhead overhead) {
         this.engine = engine;
-        this.pace = model.paceFactor();
+        this.paceFactor = model.paceFactor();
         this.overhead = overhead;
     }
 
-    /** Takes the time that a first event took against what was predicted, in milliseconds. */
+    /** Updates the learned overhead by the measured and the predicted time of a first event, in milliseconds. */
     public void observedFirst(double tookMs, double predictedMs) {
-        overhead.observed(tookMs - predictedMs + overhead.ms());
+        overhead.record(tookMs - predictedMs + overhead.ms());
     }
 
-    /** Returns the requests that one group runs at once. */
+    /** Returns the number of requests that one group runs at once. */
     public int slots() {
         return engine.slots();
     }
 
-    /** Returns the time of one token step, in milliseconds, with so many requests that write. */
-    private double stepMs(int writing) {
-        final int inBatch = Math.min(writing, engine.slots());
-        final double contextMs = engine.contextMsPerKilotoken() * USUAL_CONTEXT_TOKENS / TOKENS_PER_KILOTOKEN;
-        return pace * (engine.stepMs() + inBatch * (engine.perSequenceMs() + contextMs));
+    /** Returns the time of one decode step with the given number of decoding requests, in milliseconds. */
+    private double stepMs(int decoding) {
+        final int inBatch = Math.min(decoding, engine.slots());
+        final double contextMs = engine.contextMsPerKilotoken() * MEAN_CONTEXT_TOKENS / TOKENS_PER_KILOTOKEN;
+        return paceFactor * (engine.stepMs() + inBatch * (engine.perSequenceMs() + contextMs));
     }
 
-    /** Returns the time of one pass without reading, in milliseconds, with so many requests that write. */
-    public double passMs(int writing) {
-        return stepMs(writing) * engine.strideSteps();
+    /** Returns the time of one pass without prefill with the given number of decoding requests, in milliseconds. */
+    public double passMs(int decoding) {
+        return stepMs(decoding) * engine.stepsPerPass();
     }
 
-    /** Returns the time to read prompts, in milliseconds, with nothing else to do. */
-    public double readMs(int promptTokens) {
-        final double pairsMs = engine.pairsMsPerMillion() * promptTokens / 2.0 * promptTokens / PAIRS_PER_MILLION;
-        return pace * (promptTokens / engine.readTokensPerSecond() * MS_PER_SECOND + pairsMs);
+    /** Returns the time of the prefill of a prompt on an otherwise idle engine, in milliseconds. */
+    public double prefillMs(int promptTokens) {
+        final double pairsMs = engine.attentionMsPerMillionPairs() * promptTokens / 2.0 * promptTokens / PAIRS_PER_MILLION;
+        return paceFactor * (promptTokens / engine.prefillTokensPerSecond() * MS_PER_SECOND + pairsMs);
     }
 
     /**
      * Returns the time from the arrival of a request to its first event, in milliseconds.
      *
-     * @param running requests at the group
-     * @param unreadTokens prompt tokens of those that are not read yet
+     * @param running requests in flight at the group
+     * @param pendingPromptTokens prompt tokens of these requests that wait for prefill
      */
-    public double firstEventMs(int running, int unreadTokens, int promptTokens) {
-        final double waitingReadMs = pace * unreadTokens / engine.readTokensPerSecond() * MS_PER_SECOND;
-        final int readSteps = 1 + (unreadTokens + promptTokens) / Math.max(1, engine.chunkTokens());
-        final double startMs = running == 0 ? 0 : passMs(running) / 2;
+    public double firstEventMs(int running, int pendingPromptTokens, int promptTokens) {
+        final double pendingPrefillMs = paceFactor * pendingPromptTokens / engine.prefillTokensPerSecond() * MS_PER_SECOND;
+        final int prefillSteps = 1 + (pendingPromptTokens + promptTokens) / Math.max(1, engine.prefillChunkTokens());
+        final double currentPassMs = running == 0 ? 0 : passMs(running) / 2;
         return overhead.ms()
-                + startMs
-                + waitingReadMs
-                + readMs(promptTokens)
-                + readSteps * stepMs(running)
+                + currentPassMs
+                + pendingPrefillMs
+                + prefillMs(promptTokens)
+                + prefillSteps * stepMs(running)
                 + passMs(running + 1)
                 + waitForSlotMs(running);
     }
 
-    /** Returns about how long a request waits until one of the running ones ends, in milliseconds. */
+    /** Returns the estimated time that a request waits for a slot, in milliseconds. */
     public double waitForSlotMs(int running) {
         final int waiting = running - engine.slots() + 1;
-        return waiting <= 0 ? 0 : waiting * passMs(engine.slots()) * USUAL_EVENTS / engine.slots();
+        return waiting <= 0 ? 0 : waiting * passMs(engine.slots()) * MEAN_EVENTS_PER_ANSWER / engine.slots();
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/balancing/LearnedOverhead.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/LearnedOverhead.java
@@ -1,28 +1,30 @@
 package org.wigeongrade.decisions.balancing;
 
 /**
- * Time by which first events come later than the published profile of an engine predicts, as a moving average.
+ * Moving average of the time by which first events come later than the published profile of an engine predicts.
  *
  * <p>Invariant: never negative. Not thread safe.
  */
 public final class LearnedOverhead {
-    /** Assumed before anything was observed, in milliseconds: what the users' engines took to start an answer. */
+    /**
+     * Value before the first observation, in milliseconds: the time that the users' engines took to start an answer.
+     */
     private static final double INITIAL_MS = 100;
-    /** Weight of the newest observation; about the last fifty answers count. */
+    /** Weight of the newest observation; about the last 50 answers count. */
     private static final double NEWEST_WEIGHT = 0.04;
-    /** A larger difference comes from an endpoint that stands still and teaches nothing, in milliseconds. */
-    private static final double LARGEST_MS = 600;
+    /** Differences from this one on are ignored, in milliseconds: they come from stalled endpoints. */
+    private static final double MAX_DIFFERENCE_MS = 600;
 
     private double overheadMs = INITIAL_MS;
 
-    /** Takes how much later than predicted a first event came; negative if it came earlier. */
-    public void observed(double laterMs) {
-        if (laterMs < LARGEST_MS) {
-            overheadMs = Math.max(0, overheadMs + NEWEST_WEIGHT * (laterMs - overheadMs));
+    /** Records by how many milliseconds a first event came later than predicted; negative if it came earlier. */
+    public void record(double differenceMs) {
+        if (differenceMs < MAX_DIFFERENCE_MS) {
+            overheadMs = Math.max(0, overheadMs + NEWEST_WEIGHT * (differenceMs - overheadMs));
         }
     }
 
-    /** Returns the time to add to a predicted first event, in milliseconds. */
+    /** Returns the time to add to the predicted time of a first event, in milliseconds. */
     public double ms() {
         return overheadMs;
     }
--- a/src/main/java/org/wigeongrade/decisions/balancing/Placement.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/Placement.java
@@ -3,13 +3,14 @@
 import java.util.Optional;
 
 /**
- * Where a request goes, or why it goes nowhere. Immutable; safe for use from any thread.
+ * The endpoint chosen for a request, or the reason why it is refused. Immutable; safe for use from any thread.
  *
- * @param endpoint the chosen endpoint
+ * @param endpoint the chosen endpoint; empty if the request is refused
  * @param predictedMs predicted time to the first event or answer
- * @param candidates endpoints that could have taken the request
- * @param refusal why none was chosen
- * @param retryAfterMs when coming back may help, if none was chosen
+ * @param candidates number of endpoints that could take the request or, if it is refused, that it had not been sent to
+ * before
+ * @param refusal why no endpoint was chosen
+ * @param retryAfterMs time after which the caller should retry if no endpoint was chosen; otherwise 0
  */
 public record Placement(
         Optional<EndpointLoad> endpoint,
@@ -17,11 +18,11 @@
         int candidates,
         Optional<Refusal> refusal,
         long retryAfterMs) {
-    /** Why a request is sent nowhere. */
+    /** Why a request is refused. */
     public enum Refusal {
-        /** No endpoint serves this. */
+        /** No endpoint serves the request's target, or it has already been sent to all that do. */
         NONE_SERVES,
-        /** Every endpoint that serves this runs as many requests as it can. */
+        /** Every endpoint that serves the request's target is full or would answer too late. */
         ALL_BUSY
     }
 
--- a/src/main/java/org/wigeongrade/decisions/balancing/RetryAllowance.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/RetryAllowance.java
@@ -4,24 +4,24 @@
 import java.util.Deque;
 
 /**
- * One entry node's part of the requests that the fleet may send once more.
+ * One entry node's share of the fleet's retry budget.
  *
- * <p>Invariant: in any window the node sends no more requests again than its part of the ratio and the slack. Time is a
- * parameter. Not thread safe.
+ * <p>Invariant: in any window the node retries no more requests than its share of the ratio and the slack allows. Time
+ * is a parameter. Not thread safe.
  */
 public final class RetryAllowance {
-    /** Part of what is allowed that is used, since entry nodes do not see each other's windows. */
-    private static final double USED_PART = 0.8;
+    /** Ratio of the allowed retries that is used, because entry nodes do not see each other's windows. */
+    private static final double USED_RATIO = 0.8;
 
     private final double ratio;
     private final double slack;
     private final long windowNanos;
     private final Deque<Long> requestsNanos = new ArrayDeque<>();
-    private final Deque<Long> repeatsNanos = new ArrayDeque<>();
+    private final Deque<Long> retriesNanos = new ArrayDeque<>();
 
     /**
-     * @param ratio requests sent once more as a part of all requests
-     * @param slack requests sent once more that the whole fleet may send beside the ratio, in each window
+     * @param ratio ratio of retries to requests
+     * @param slack retries that the whole fleet may send in each window in addition to the ratio
      */
     public RetryAllowance(double ratio, double slack, long windowNanos) {
         this.ratio = ratio;
@@ -29,25 +29,25 @@
         this.windowNanos = windowNanos;
     }
 
-    /** Counts a caller's request. */
+    /** Records a caller's request. */
     public void requested(long nowNanos) {
         requestsNanos.addLast(nowNanos);
-        forget(requestsNanos, nowNanos);
+        removeOld(requestsNanos, nowNanos);
     }
 
-    /** Counts a request that is sent once more, if it is allowed; returns whether it is. */
+    /** Records a retry if it is allowed, and returns whether it is. */
     public boolean tryRepeat(int entryNodes, long nowNanos) {
-        forget(requestsNanos, nowNanos);
-        forget(repeatsNanos, nowNanos);
-        final double allowed = USED_PART * (ratio * requestsNanos.size() + slack / Math.max(1, entryNodes));
-        if (repeatsNanos.size() + 1 > allowed) {
+        removeOld(requestsNanos, nowNanos);
+        removeOld(retriesNanos, nowNanos);
+        final double allowed = USED_RATIO * (ratio * requestsNanos.size() + slack / Math.max(1, entryNodes));
+        if (retriesNanos.size() + 1 > allowed) {
             return false;
         }
-        repeatsNanos.addLast(nowNanos);
+        retriesNanos.addLast(nowNanos);
         return true;
     }
 
-    private void forget(Deque<Long> times, long nowNanos) {
+    private void removeOld(Deque<Long> times, long nowNanos) {
         while (!times.isEmpty() && nowNanos - times.peekFirst() >= windowNanos) {
             times.removeFirst();
         }
--- a/src/main/java/org/wigeongrade/decisions/balancing/package-info.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/package-info.java
@@ -1,2 +1,2 @@
-/** Chooses the endpoint of a request by the time that it is predicted to take there, and refuses what cannot be served. */
+/** Chooses endpoints for requests by predicted latency, and refuses requests that cannot be served. */
 package org.wigeongrade.decisions.balancing;
--- a/src/main/java/org/wigeongrade/decisions/discovery/GroupState.java
+++ b/src/main/java/org/wigeongrade/decisions/discovery/GroupState.java
@@ -1,15 +1,15 @@
 package org.wigeongrade.decisions.discovery;
 
-/** State of a group as one of its members reports it. Immutable; safe for use from any thread. */
+/** State of a group as a member reports it. Immutable; safe for use from any thread. */
 public enum GroupState {
-    /** The member loads weights. */
+    /** The member is joining and may load weights. */
     JOINING,
-    /** The member waits; a head serves nothing yet. */
+    /** The member is ready; if it is the head, it does not serve yet. */
     READY,
     /** The head serves. */
     OPEN,
-    /** The head ends its work and takes none. */
+    /** The head finishes or aborts its requests and accepts no new ones. */
     CLOSING,
-    /** The head lost a member and refuses everything. */
+    /** The head has lost a member and refuses all requests. */
     BROKEN
 }
--- a/src/main/java/org/wigeongrade/decisions/discovery/VmHeartbeat.java
+++ b/src/main/java/org/wigeongrade/decisions/discovery/VmHeartbeat.java
@@ -10,16 +10,16 @@
 import org.wigeongrade.ids.VmIncarnation;
 
 /**
- * What an endpoint VM says of itself. Immutable; safe for use from any thread.
+ * The state that an endpoint VM reports of itself. Immutable; safe for use from any thread.
  *
- * @param sequence grows with each heartbeat of an incarnation, so that a late one shows
- * @param address IP number and port that take requests and orders
- * @param slots requests that the VM runs at once
+ * @param sequence increases with each heartbeat of an incarnation, so that late heartbeats can be detected
+ * @param address IP address and port at which the VM receives requests and orders
+ * @param slots number of requests that the VM runs at once
  * @param draining whether the VM is about to leave
  * @param coldForMs remaining time of the cold start; 0 if warm
- * @param domain present where the VM runs an engine
- * @param stagedModels models whose weights lie on the VM's host
- * @param loadedModel the model of the VM's latest group
+ * @param domain fabric domain of the VM; present only if the VM runs an engine
+ * @param stagedModels models whose weights are on the VM's host
+ * @param loadedModel model of the VM's latest group; its weights stay loaded
  */
 public record VmHeartbeat(
         VmIncarnation vm,
--- a/src/main/java/org/wigeongrade/decisions/discovery/VmRegistry.java
+++ b/src/main/java/org/wigeongrade/decisions/discovery/VmRegistry.java
@@ -9,46 +9,50 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * The endpoint VMs that were heard of.
+ * Keeps the latest heartbeat of each endpoint VM.
  *
- * <p>Invariants: an incarnation or sequence that was overtaken never comes back; of two incarnations at one address only
- * the younger one has not ended. Time is a parameter. Thread safe; its lock is taken last.
+ * <p>Invariants: an older incarnation or sequence never replaces a newer one; of two VMs at one address, all but the
+ * one with the newer incarnation have ended. Time is a parameter. Thread safe; no other lock is acquired while its lock
+ * is held.
  */
 public final class VmRegistry {
-    /** How long an ended incarnation is remembered; late heartbeats arrive within seconds. */
+    /** Time for which an ended incarnation is remembered; late heartbeats arrive within seconds. */
     private static final long TOMBSTONE_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private final Map<VmName, VmRecord> byName = new HashMap<>();
     private final Map<String, VmName> byAddress = new HashMap<>();
 
     /**
-     * Takes a heartbeat.
+     * Records a heartbeat unless a newer one is known.
      *
-     * @param heardNanos when a control VM received it, on this node's monotonic clock
-     * @return whether it was newer than what was known
+     * @param receivedNanos time at which a control VM received the heartbeat, on this node's monotonic clock
+     * @return whether the heartbeat was recorded
      */
-    public synchronized boolean hear(VmHeartbeat heartbeat, long heardNanos) {
+    public synchronized boolean hear(VmHeartbeat heartbeat, long receivedNanos) {
         final VmRecord known = byName.get(heartbeat.vm().vm());
         if (known != null && !isNewer(heartbeat, known)) {
             return false;
         }
-        if (isOvertakenAtAddress(heartbeat)) {
+        if (isSupersededAtAddress(heartbeat)) {
             return false;
         }
-        endOlderAtAddress(heartbeat);
-        final long coldUntilNanos = heardNanos + TimeUnit.MILLISECONDS.toNanos(heartbeat.coldForMs());
-        byName.put(heartbeat.vm().vm(), new VmRecord(heartbeat, heardNanos, coldUntilNanos, false, false));
+        markOlderAtAddressEnded(heartbeat);
+        final long coldUntilNanos = receivedNanos + TimeUnit.MILLISECONDS.toNanos(heartbeat.coldForMs());
+        byName.put(heartbeat.vm().vm(), new VmRecord(heartbeat, receivedNanos, coldUntilNanos, false, false));
         byAddress.put(heartbeat.address(), heartbeat.vm().vm());
         return true;
     }
 
-    /** Takes the news that a VM leaves for good; it may still finish its work. Returns its record if it is known. */
+    /**
+     * Records that a VM leaves permanently, though it may still finish its requests. Returns its record if the VM is
+     * known.
+     */
     public synchronized Optional<VmRecord> depart(VmName vm) {
         return Optional.ofNullable(byName.computeIfPresent(vm, (name, known) -> known.asDeparted()));
     }
 
-    /** Takes the news that an incarnation has ended. */
-    public synchronized void end(VmIncarnation vm) {
+    /** Records that an incarnation has ended. */
+    public synchronized void markEnded(VmIncarnation vm) {
         byName.computeIfPresent(vm.vm(), (name, known) -> known.vm().equals(vm) ? known.asEnded() : known);
     }
 
@@ -57,7 +61,7 @@
         return Optional.ofNullable(byName.get(vm));
     }
 
-    /** Returns the latest record of each VM; forgets those that ended or fell silent long ago. */
+    /** Returns the latest record of each VM, and removes those of VMs whose latest heartbeat is too old. */
     public synchronized ImmutableList<VmRecord> records(long nowNanos) {
         byName.values().removeIf(known -> known.silentNanos(nowNanos) > TOMBSTONE_NANOS);
         byAddress.values().removeIf(name -> !byName.containsKey(name));
@@ -73,13 +77,13 @@
         return heartbeat.sequence() > known.heartbeat().sequence() && !known.departed() && !known.ended();
     }
 
-    private boolean isOvertakenAtAddress(VmHeartbeat heartbeat) {
+    private boolean isSupersededAtAddress(VmHeartbeat heartbeat) {
         return atAddress(heartbeat)
                 .filter(other -> other.vm().incarnation() > heartbeat.vm().incarnation())
                 .isPresent();
     }
 
-    private void endOlderAtAddress(VmHeartbeat heartbeat) {
+    private void markOlderAtAddressEnded(VmHeartbeat heartbeat) {
         atAddress(heartbeat).ifPresent(other -> byName.put(other.vm().vm(), other.asEnded()));
     }
 
--- a/src/main/java/org/wigeongrade/decisions/discovery/package-info.java
+++ b/src/main/java/org/wigeongrade/decisions/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** What endpoint VMs say of themselves in heartbeats, and which of them may be used. */
+/** Heartbeats of endpoint VMs, and which VMs may be used. */
 package org.wigeongrade.decisions.discovery;
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupChange.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupChange.java
@@ -6,7 +6,7 @@
 import org.wigeongrade.ids.ModelVersionName;
 import org.wigeongrade.ids.VmIncarnation;
 
-/** A group came to a new phase. Immutable; safe for use from any thread. */
+/** Records that a group entered a new phase. Immutable; safe for use from any thread. */
 public record GroupChange(
         GroupName group, ModelVersionName model, GroupPhase phase, List<VmIncarnation> members, String cause) {
     public GroupChange {
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupOrder.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupOrder.java
@@ -8,12 +8,13 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * One order to one VM. Immutable; safe for use from any thread.
+ * An order to a VM. Immutable; safe for use from any thread.
  *
- * @param address where the VM takes orders
- * @param fencingTerm term of the leader that gives the order; VMs refuse a lower one than they saw
- * @param epoch number that the group was formed under; grows with each group
- * @param members of the group, head first
+ * @param address address at which the VM receives orders
+ * @param fencingTerm term of the leader that sends the order; a VM refuses a term lower than the highest one that it
+ * has seen
+ * @param epoch number of the group's formation; increases with each group
+ * @param members members of the group, head first
  */
 public record GroupOrder(
         GroupOrderKind kind,
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupOrderKind.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupOrderKind.java
@@ -1,19 +1,19 @@
 package org.wigeongrade.decisions.grouping;
 
-/** What a VM is told to do with a group. Immutable; safe for use from any thread. */
+/** What an order tells a VM to do. Immutable; safe for use from any thread. */
 public enum GroupOrderKind {
-    /** Take the place in the group that the list of members gives. */
+    /** Join the group; the VM's rank is its position in the list of members. */
     JOIN,
-    /** To the head: begin to serve. */
+    /** Sent to the head: start to serve. */
     OPEN,
-    /** To the head: take no more work and end what runs. */
+    /** Sent to the head: accept no new requests and finish the running ones. */
     CLOSE_WHEN_DONE,
-    /** To the head: take no more work and drop what runs. */
+    /** Sent to the head: accept no new requests and abort the running ones. */
     CLOSE_NOW,
-    /** Be in the group no more. */
+    /** Leave the group. */
     LEAVE,
-    /** Load a model's weights onto the host, whatever else goes on; the group stays as it is. */
+    /** Load a model's weights onto the host in the background; membership in the group does not change. */
     STAGE,
-    /** Only say that you are there. */
+    /** Answer, to show that the VM is alive. */
     PROBE
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupPhase.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupPhase.java
@@ -1,23 +1,23 @@
 package org.wigeongrade.decisions.grouping;
 
-/** Where a group is between its forming and its end. Immutable; safe for use from any thread. */
+/** Phase in the life cycle of a group. Immutable; safe for use from any thread. */
 public enum GroupPhase {
     /** Members are joining. */
     FORMING,
-    /** A warm spare: one VM that holds a model's weights and serves nothing. */
+    /** A warm spare: a single VM that loads and keeps a model's weights but serves no requests. */
     SPARE,
-    /** Every member is ready and the head was told to open. */
+    /** Every member is ready and the head was ordered to open. */
     OPENING,
     SERVING,
-    /** Something speaks against a member; each one is asked whether it is there. */
+    /** A member may have failed; every member is probed. */
     CHECKING,
-    /** A member leaves; the head ends its work first. */
+    /** The group is about to end; the head first finishes its running requests. */
     DRAINING,
-    /** The head is told to drop its work. */
+    /** The head is ordered to abort its requests and leave the group. */
     CLOSING,
-    /** The head cannot be reached: its members have left and it breaks by itself. */
+    /** The head is unreachable; the members are ordered to leave, after which the head stops serving by itself. */
     BREAKING,
-    /** Its VMs are free. */
+    /** The group has ended and its VMs are free. */
     ENDED;
 
     /** Returns whether requests may be sent to the head. */
@@ -25,8 +25,8 @@
         return this == SERVING || this == CHECKING;
     }
 
-    /** Returns whether the group serves or is on the way to it. */
-    public boolean counts() {
+    /** Returns whether the group serves or is starting to. */
+    public boolean isServingOrStarting() {
         return this == FORMING || this == OPENING || isRoutable();
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupPlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupPlanner.java
@@ -20,13 +20,14 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * Plans the groups of one service for one term of leadership: repairs what broke, forms what is missing, keeps spares.
+ * Plans the groups of one service during one leader term: repairs broken groups, forms missing ones and keeps spares.
  *
- * <p>Invariants: a VM is in one managed group at most; an epoch is used for one group only and grows; a VM is not used before
- * it was heard from in this term, and since it did not answer. Time is a parameter. Not thread safe.
+ * <p>Invariants: a VM is in at most one managed group. An epoch belongs to one group only, and epochs increase. A VM is
+ * used only after a heartbeat in this term, and after an unanswered order only once a newer heartbeat has arrived. Time
+ * is a parameter. Not thread safe.
  */
 public final class GroupPlanner {
-    /** Epochs of one term; a leader forms far fewer groups. */
+    /** Number of epochs reserved for each term; a leader forms far fewer groups. */
     private static final long EPOCHS_PER_TERM = 1_000_000;
 
     private final long term;
@@ -35,17 +36,18 @@
     private final List<ManagedGroup> groups = new ArrayList<>();
     private final Map<VmIncarnation, Long> unresponsiveSinceNanos = new HashMap<>();
     private final InheritedGroups inherited = new InheritedGroups();
-    private final LoadCeiling loadCeiling = new LoadCeiling();
-    private final RunningStages staging = new RunningStages();
-    private final Demand demand = new Demand();
-    private final FarGroups farGroups = new FarGroups();
+    private final WeightLoadLimiter loadLimiter = new WeightLoadLimiter();
+    private final StagingTracker stagingTracker = new StagingTracker();
+    private final ScaleUpPolicy scaleUpPolicy = new ScaleUpPolicy();
+    private final CrossDomainGroups crossDomainGroups = new CrossDomainGroups();
     private final long startedNanos;
     private long nextEpoch;
 
     /**
-     * @param term of this leader; orders of lower terms are refused by the VMs
-     * @param changes takes a record of each group that changed its phase
-     * @param nowNanos when this leader's term began; an earlier leader may have used a VM after its last report before that
+     * @param term term of this leader; VMs refuse orders of lower terms
+     * @param changes receives a record of each phase change of a group
+     * @param nowNanos start of this leader's term; a heartbeat received before it may be outdated, because an earlier
+     * leader may have used the VM since
      */
     public GroupPlanner(long term, GroupTimings timings, Consumer<GroupChange> changes, long nowNanos) {
         this.term = term;
@@ -56,48 +58,50 @@
     }
 
     /**
-     * Makes the next step and returns the orders to give now.
+     * Runs one planning step and returns the orders to send now.
      *
      * @param vms the latest records of the service's VMs
-     * @param evidence what entry VMs saw of endpoints, by VM
+     * @param observations what entry VMs have observed of the endpoints, by VM
      */
     public ImmutableList<GroupOrder> plan(
-            EngineProfile engine, List<VmRecord> vms, Map<VmName, EndpointEvidence> evidence, long nowNanos) {
-        if (evidence.values().stream().anyMatch(seen -> seen.inFlight() > 0)) {
-            loadCeiling.callersSeen();
+            EngineProfile engine, List<VmRecord> vms, Map<VmName, EndpointEvidence> observations, long nowNanos) {
+        if (observations.values().stream().anyMatch(seen -> seen.inFlight() > 0)) {
+            loadLimiter.callersStarted();
         }
         final ImmutableMap<VmName, VmRecord> byName =
                 vms.stream().collect(ImmutableMap.toImmutableMap(vm -> vm.vm().vm(), vm -> vm));
         final ImmutableList.Builder<GroupOrder> orders = ImmutableList.builder();
-        final GroupSurroundings around = new GroupSurroundings(nowNanos, term, timings, byName, evidence, orders::add);
+        final PlanningContext context = new PlanningContext(nowNanos, term, timings, byName, observations, orders::add);
         adopt(engine, vms, timings.silentNanos(), nowNanos);
-        groups.forEach(group -> step(group, around));
+        groups.forEach(group -> step(group, context));
         removeEnded(nowNanos);
-        engine.models().forEach(model -> farGroups.noteLacking(model, lacksGroups(model, around), around.nowNanos()));
-        formMissing(engine, around);
-        addForDemand(engine, around);
-        keepSpares(engine, around);
-        stageSecondModels(engine, around);
-        FarGroups.replaceable(groups, free(around, true), around)
-                .ifPresent(group -> group.drain("a group inside one fabric domain can take its place", around));
+        engine.models().forEach(model -> crossDomainGroups.updateShortage(model, lacksGroups(model, context), context.nowNanos()));
+        formMissingGroups(engine, context);
+        scaleUp(engine, context);
+        keepSpares(engine, context);
+        stageSecondModels(engine, context);
+        CrossDomainGroups.findReplaceable(groups, freeVms(context, true), context)
+                .ifPresent(group -> group.drain("a group within one fabric domain can replace it", context));
         return orders.build();
     }
 
-    /** Takes over the whole groups of earlier leaders and does nothing else, while VMs may not have been heard of yet. */
+    /**
+     * Takes over only the complete groups of earlier leaders, while heartbeats of some VMs may not have arrived yet.
+     */
     public void takeOver(EngineProfile engine, List<VmRecord> vms, long nowNanos) {
         adopt(engine, vms, Long.MAX_VALUE, nowNanos);
     }
 
-    /** Takes what came back for an order. */
+    /** Records the answer to an order. */
     public void answered(GroupOrder order, OrderAnswer answer, long nowNanos) {
-        if (!answer.showsLife()) {
+        if (!answer.isFromLiveVm()) {
             unresponsiveSinceNanos.put(order.vm(), nowNanos);
         }
         groups.stream()
                 .filter(group -> group.name.equals(order.group()) && group.epoch == order.epoch())
                 .flatMap(group -> group.members.stream())
                 .filter(member -> member.vm.equals(order.vm()))
-                .forEach(member -> member.answered(order.kind(), answer, nowNanos));
+                .forEach(member -> member.recordAnswer(order.kind(), answer, nowNanos));
     }
 
     /** Returns the groups whose heads may be sent requests. */
@@ -108,27 +112,27 @@
                         group.name,
                         group.head().vm,
                         group.model.name(),
-                        group.spansDomains() ? engine.farFactor() : 1,
+                        group.spansDomains() ? engine.crossDomainFactor() : 1,
                         group.phase() == GroupPhase.CHECKING))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private void adopt(EngineProfile engine, List<VmRecord> vms, long patienceNanos, long nowNanos) {
-        inherited.adopt(engine, vms, patienceNanos, nowNanos).forEach(group -> {
+    private void adopt(EngineProfile engine, List<VmRecord> vms, long maxWaitNanos, long nowNanos) {
+        inherited.adopt(engine, vms, maxWaitNanos, nowNanos).forEach(group -> {
             groups.add(group);
-            note(group);
+            recordPhaseChange(group);
         });
     }
 
-    private void step(ManagedGroup group, GroupSurroundings around) {
+    private void step(ManagedGroup group, PlanningContext context) {
         final GroupPhase before = group.phase();
-        group.step(around);
+        group.step(context);
         if (group.phase() != before) {
-            note(group);
+            recordPhaseChange(group);
         }
     }
 
-    private void note(ManagedGroup group) {
+    private void recordPhaseChange(ManagedGroup group) {
         changes.accept(new GroupChange(
                 group.name,
                 group.model.name(),
@@ -137,127 +141,129 @@
                 group.cause()));
     }
 
-    private void formMissing(EngineProfile engine, GroupSurroundings around) {
-        Optional<GroupedModel> model = mostWanted(engine, around);
+    private void formMissingGroups(EngineProfile engine, PlanningContext context) {
+        Optional<GroupedModel> model = modelWithLargestShortage(engine, context);
         while (model.isPresent()) {
-            final boolean formed = form(engine, model.get(), around);
-            model = formed ? mostWanted(engine, around) : Optional.empty();
+            final boolean formed = form(engine, model.get(), context);
+            model = formed ? modelWithLargestShortage(engine, context) : Optional.empty();
         }
     }
 
-    /** Forms one more group of spares that hold the weights for a model whose groups are nearly full. */
-    private void addForDemand(EngineProfile engine, GroupSurroundings around) {
+    /**
+     * Forms one more group for each model whose groups are almost fully used, from VMs that already have the weights.
+     */
+    private void scaleUp(EngineProfile engine, PlanningContext context) {
         for (final GroupedModel model : engine.models()) {
-            final Optional<FormationChoice> choice = demand.wantsMore(engine, model, groups, around)
-                    ? FormationChoice.within(free(around, true), model, domain -> countIn(domain, model, around))
-                            .filter(found -> found.loads() == 0)
+            final Optional<MemberSelection> selection = scaleUpPolicy.shouldAddGroup(engine, model, groups, context)
+                    ? MemberSelection.withinDomain(freeVms(context, true), model, domain -> countGroupsInDomain(domain, model, context))
+                            .filter(found -> found.storeLoads() == 0)
                     : Optional.empty();
-            choice.ifPresent(found -> {
-                demand.added(around.nowNanos());
-                form(model, found, around);
+            selection.ifPresent(found -> {
+                scaleUpPolicy.recordAddedGroup(context.nowNanos());
+                form(model, found, context);
             });
         }
     }
 
-    /** Returns the model that lacks the largest part of its wanted groups and can be given one. */
-    private Optional<GroupedModel> mostWanted(EngineProfile engine, GroupSurroundings around) {
+    /** Returns the model with the lowest ratio of groups to target count among those that can get another group now. */
+    private Optional<GroupedModel> modelWithLargestShortage(EngineProfile engine, PlanningContext context) {
         return engine.models().stream()
-                .filter(model -> lacksGroups(model, around))
-                .filter(model -> choose(engine, model, around).isPresent())
-                .min(Comparator.comparingDouble(model -> (double) count(model, around) / wanted(model, around)));
+                .filter(model -> lacksGroups(model, context))
+                .filter(model -> selectMembers(engine, model, context).isPresent())
+                .min(Comparator.comparingDouble(model -> (double) countGroups(model, context) / targetCount(model, context)));
     }
 
-    private boolean lacksGroups(GroupedModel model, GroupSurroundings around) {
-        return count(model, around) < wanted(model, around);
+    private boolean lacksGroups(GroupedModel model, PlanningContext context) {
+        return countGroups(model, context) < targetCount(model, context);
     }
 
-    private int wanted(GroupedModel model, GroupSurroundings around) {
-        return WantedGroups.of(model, usable(around).size());
+    private int targetCount(GroupedModel model, PlanningContext context) {
+        return TargetGroupCount.of(model, usableVms(context).size());
     }
 
-    private boolean form(EngineProfile engine, GroupedModel model, GroupSurroundings around) {
-        final Optional<FormationChoice> choice = choose(engine, model, around);
-        choice.ifPresent(found -> form(model, found, around));
-        return choice.isPresent();
+    private boolean form(EngineProfile engine, GroupedModel model, PlanningContext context) {
+        final Optional<MemberSelection> selection = selectMembers(engine, model, context);
+        selection.ifPresent(found -> form(model, found, context));
+        return selection.isPresent();
     }
 
-    private void form(GroupedModel model, FormationChoice choice, GroupSurroundings around) {
-        choice.members()
+    private void form(GroupedModel model, MemberSelection selection, PlanningContext context) {
+        selection.members()
                 .forEach(member -> groups.stream()
                         .filter(group ->
-                                group.isSpare() && group.has(member.vm().vm()))
-                        .forEach(group -> group.endSpare(around.nowNanos())));
-        removeEnded(around.nowNanos());
-        start(GroupPhase.FORMING, model, choice.members(), around);
-        loadCeiling.started(choice.loads(), around.nowNanos());
+                                group.isSpare() && group.hasMember(member.vm().vm()))
+                        .forEach(group -> group.endSpare(context.nowNanos())));
+        removeEnded(context.nowNanos());
+        start(GroupPhase.FORMING, model, selection.members(), context);
+        loadLimiter.recordStarted(selection.storeLoads(), context.nowNanos());
     }
 
-    private Optional<FormationChoice> choose(EngineProfile engine, GroupedModel model, GroupSurroundings around) {
-        final List<VmHeartbeat> free = free(around, true);
-        final Optional<FormationChoice> within =
-                FormationChoice.within(free, model, domain -> countIn(domain, model, around));
-        final boolean needsLoad = within.isEmpty() || within.get().loads() > 0;
-        final Optional<FormationChoice> across = needsLoad
-                ? farGroups.choose(model, free, groups, count(model, around), wanted(model, around), around.nowNanos())
+    private Optional<MemberSelection> selectMembers(EngineProfile engine, GroupedModel model, PlanningContext context) {
+        final List<VmHeartbeat> free = freeVms(context, true);
+        final Optional<MemberSelection> withinDomain =
+                MemberSelection.withinDomain(free, model, domain -> countGroupsInDomain(domain, model, context));
+        final boolean needsLoad = withinDomain.isEmpty() || withinDomain.get().storeLoads() > 0;
+        final Optional<MemberSelection> acrossDomains = needsLoad
+                ? crossDomainGroups.selectMembers(model, free, groups, countGroups(model, context), targetCount(model, context), context.nowNanos())
                 : Optional.empty();
-        return across.or(() -> within.filter(choice -> choice.loads() == 0 || !loadCeiling.haveCallersBeenSeen())
-                .filter(choice -> loadCeiling.allows(
-                        choice.loads(),
-                        runningLoads(around),
+        return acrossDomains.or(() -> withinDomain.filter(selection -> selection.storeLoads() == 0 || !loadLimiter.haveCallersStarted())
+                .filter(selection -> loadLimiter.allows(
+                        selection.storeLoads(),
+                        runningLoads(context),
                         engine.loadsPerSecond(),
-                        engine.loadsAtOnce(),
-                        around.nowNanos())));
+                        engine.maxConcurrentLoads(),
+                        context.nowNanos())));
     }
 
-    private void keepSpares(EngineProfile engine, GroupSurroundings around) {
-        final boolean groupsLoadFirst = groupsWaitForLoads(engine, around);
-        for (final VmHeartbeat vm : free(around, false)) {
-            final Optional<GroupedModel> model = SpareChoice.modelFor(vm, engine, groups, around)
-                    .filter(wanted -> !groupsLoadFirst || Readiness.of(vm, wanted) != Readiness.EMPTY);
-            final boolean allowed = model.filter(wanted -> loadCeiling.allows(
-                            Readiness.of(vm, wanted) == Readiness.EMPTY ? 1 : 0,
-                            runningLoads(around),
+    private void keepSpares(EngineProfile engine, PlanningContext context) {
+        final boolean groupsHavePriority = groupsWaitForLoads(engine, context);
+        for (final VmHeartbeat vm : freeVms(context, false)) {
+            final Optional<GroupedModel> model = SpareModelSelector.selectModel(vm, engine, groups, context)
+                    .filter(wanted -> !groupsHavePriority || Readiness.of(vm, wanted) != Readiness.NEEDS_LOAD);
+            final boolean allowed = model.filter(wanted -> loadLimiter.allows(
+                            Readiness.of(vm, wanted) == Readiness.NEEDS_LOAD ? 1 : 0,
+                            runningLoads(context),
                             engine.loadsPerSecond(),
-                            engine.loadsAtOnce(),
-                            around.nowNanos()))
+                            engine.maxConcurrentLoads(),
+                            context.nowNanos()))
                     .isPresent();
             if (allowed) {
-                loadCeiling.started(Readiness.of(vm, model.get()) == Readiness.EMPTY ? 1 : 0, around.nowNanos());
-                start(GroupPhase.SPARE, model.get(), ImmutableList.of(vm), around);
+                loadLimiter.recordStarted(Readiness.of(vm, model.get()) == Readiness.NEEDS_LOAD ? 1 : 0, context.nowNanos());
+                start(GroupPhase.SPARE, model.get(), ImmutableList.of(vm), context);
             }
         }
     }
 
-    /** Returns whether groups are missing whose VMs wait for room to load; a spare would take a part of that room. */
-    private boolean groupsWaitForLoads(EngineProfile engine, GroupSurroundings around) {
-        final List<VmHeartbeat> free = free(around, true);
-        return !loadCeiling.haveCallersBeenSeen()
+    /** Returns whether missing groups wait for the limit on loads, which loads for spares would use up. */
+    private boolean groupsWaitForLoads(EngineProfile engine, PlanningContext context) {
+        final List<VmHeartbeat> free = freeVms(context, true);
+        return !loadLimiter.haveCallersStarted()
                 && engine.models().stream()
-                        .filter(model -> lacksGroups(model, around))
+                        .filter(model -> lacksGroups(model, context))
                         .anyMatch(model ->
-                                FormationChoice.within(free, model, domain -> 0).isPresent());
+                                MemberSelection.withinDomain(free, model, domain -> 0).isPresent());
     }
 
-    /** Lets spares load the weights of a second model onto their hosts, so that they can stand in for either one. */
-    private void stageSecondModels(EngineProfile engine, GroupSurroundings around) {
-        staging.forgetDone(around);
-        for (final SecondModel.Choice choice : SecondModel.choices(engine, groups, around)) {
-            final boolean allowed = staging.running() < GroupTimings.SECOND_LOADS_AT_ONCE
-                    && staging.mayBegin(choice.spare(), around.nowNanos())
-                    && loadCeiling.allows(
-                            1, runningLoads(around), engine.loadsPerSecond(), engine.loadsAtOnce(), around.nowNanos());
+    /** Orders spares to load the weights of a second model onto their hosts, so that they can serve either model. */
+    private void stageSecondModels(EngineProfile engine, PlanningContext context) {
+        stagingTracker.removeFinished(context);
+        for (final SecondModelStaging.Candidate candidate : SecondModelStaging.candidates(engine, groups, context)) {
+            final boolean allowed = stagingTracker.runningCount() < GroupTimings.MAX_CONCURRENT_SECOND_LOADS
+                    && stagingTracker.canBegin(candidate.spare(), context.nowNanos())
+                    && loadLimiter.allows(
+                            1, runningLoads(context), engine.loadsPerSecond(), engine.maxConcurrentLoads(), context.nowNanos());
             if (allowed) {
-                loadCeiling.started(1, around.nowNanos());
-                staging.begun(choice, around.nowNanos());
-                around.orders().accept(choice.order(around.fencingTerm()));
+                loadLimiter.recordStarted(1, context.nowNanos());
+                stagingTracker.recordBegun(candidate, context.nowNanos());
+                context.orders().accept(candidate.order(context.fencingTerm()));
             }
         }
     }
 
-    private void start(GroupPhase phase, GroupedModel model, List<VmHeartbeat> vms, GroupSurroundings around) {
+    private void start(GroupPhase phase, GroupedModel model, List<VmHeartbeat> vms, PlanningContext context) {
         final long epoch = nextEpoch++;
         final String prefix = phase == GroupPhase.SPARE ? InheritedGroups.SPARE_PREFIX : InheritedGroups.GROUP_PREFIX;
-        inherited.own(GroupName.of(prefix + epoch), epoch);
+        inherited.owned(GroupName.of(prefix + epoch), epoch);
         final ManagedGroup group = new ManagedGroup(
                 GroupName.of(prefix + epoch),
                 epoch,
@@ -265,48 +271,50 @@
                 vms.stream().map(GroupMember::new).toList(),
                 phase,
                 false,
-                around.nowNanos());
+                context.nowNanos());
         groups.add(group);
-        note(group);
-        group.step(around);
+        recordPhaseChange(group);
+        group.step(context);
     }
 
     private void removeEnded(long nowNanos) {
         groups.stream()
                 .filter(group -> group.phase() == GroupPhase.ENDED)
-                .forEach(group -> inherited.ended(group.name, group.epoch, nowNanos));
+                .forEach(group -> inherited.recordEnded(group.name, group.epoch, nowNanos));
         groups.removeIf(group -> group.phase() == GroupPhase.ENDED);
     }
 
-    private int count(GroupedModel model, GroupSurroundings around) {
+    private int countGroups(GroupedModel model, PlanningContext context) {
         final long managed = groups.stream()
-                .filter(group -> group.phase().counts() && group.model.name().equals(model.name()))
+                .filter(group -> group.phase().isServingOrStarting() && group.model.name().equals(model.name()))
                 .count();
         return (int) managed
-                + inherited.pending(
+                + inherited.countPending(
                         model.name(),
-                        ImmutableList.copyOf(around.vms().values()),
+                        ImmutableList.copyOf(context.vms().values()),
                         timings.silentNanos(),
-                        around.nowNanos());
+                        context.nowNanos());
     }
 
-    private int countIn(FabricDomain domain, GroupedModel model, GroupSurroundings around) {
+    private int countGroupsInDomain(FabricDomain domain, GroupedModel model, PlanningContext context) {
         return (int) groups.stream()
-                .filter(group -> group.phase().counts() && group.model.name().equals(model.name()))
-                .filter(group -> around.record(group.head())
+                .filter(group -> group.phase().isServingOrStarting() && group.model.name().equals(model.name()))
+                .filter(group -> context.record(group.head())
                         .flatMap(head -> head.heartbeat().domain())
                         .filter(domain::equals)
                         .isPresent())
                 .count();
     }
 
-    /** Returns members that were told to join a model whose weights they do not hold yet. */
-    private int runningLoads(GroupSurroundings around) {
-        return staging.running()
+    /**
+     * Returns the number of running loads: of second models, and of joining members that do not have the weights yet.
+     */
+    private int runningLoads(PlanningContext context) {
+        return stagingTracker.runningCount()
                 + (int) groups.stream()
                         .filter(group -> group.phase() == GroupPhase.FORMING || group.isSpare())
                         .flatMap(group -> group.members.stream()
-                                .filter(member -> around.record(member)
+                                .filter(member -> context.record(member)
                                         .filter(vm -> isLoading(vm.heartbeat(), group.model.name()))
                                         .isPresent()))
                         .count();
@@ -317,23 +325,26 @@
                 && vm.loadedModel().filter(model::equals).isEmpty();
     }
 
-    private List<VmRecord> usable(GroupSurroundings around) {
-        return around.vms().values().stream()
-                .filter(vm -> vm.isStaying() && vm.silentNanos(around.nowNanos()) <= timings.silentNanos())
+    private List<VmRecord> usableVms(PlanningContext context) {
+        return context.vms().values().stream()
+                .filter(vm -> vm.isStaying() && vm.silentNanos(context.nowNanos()) <= timings.silentNanos())
                 .toList();
     }
 
-    private List<VmHeartbeat> free(GroupSurroundings around, boolean withSpares) {
-        return usable(around).stream()
+    private List<VmHeartbeat> freeVms(PlanningContext context, boolean withSpares) {
+        return usableVms(context).stream()
                 .filter(vm -> groups.stream()
                         .noneMatch(group -> !(withSpares && group.isSpare())
-                                && (group.has(vm.vm().vm()) || isReportedBy(vm, group))))
-                .filter(vm -> vm.heardNanos() - startedNanos > 0 && heardSinceUnresponsive(vm) && !inherited.isIn(vm))
+                                && (group.hasMember(vm.vm().vm()) || isReportedBy(vm, group))))
+                .filter(vm -> vm.receivedNanos() - startedNanos > 0 && sentHeartbeatSinceUnresponsive(vm) && !inherited.isInUnadoptedGroup(vm))
                 .map(VmRecord::heartbeat)
                 .toList();
     }
 
-    /** Returns whether the VM says that it is in the group, which may have been taken over before the VM was heard of. */
+    /**
+     * Returns whether the VM reports that it is in the group, which may have been taken over before this VM's first
+     * heartbeat.
+     */
     private static boolean isReportedBy(VmRecord vm, ManagedGroup group) {
         return vm.heartbeat()
                 .group()
@@ -341,8 +352,8 @@
                 .isPresent();
     }
 
-    private boolean heardSinceUnresponsive(VmRecord vm) {
+    private boolean sentHeartbeatSinceUnresponsive(VmRecord vm) {
         final Long sinceNanos = unresponsiveSinceNanos.get(vm.vm());
-        return sinceNanos == null || vm.heardNanos() - sinceNanos > 0;
+        return sinceNanos == null || vm.receivedNanos() - sinceNanos > 0;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupTimings.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupTimings.java
@@ -3,50 +3,67 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times that the repair of groups keeps, in nanoseconds. Immutable; safe for use from any thread.
+ * Timeouts and intervals for forming and repairing groups, in nanoseconds unless their names say otherwise. Immutable;
+ * safe for use from any thread.
  *
- * @param heartbeatNanos usual time between two heartbeats of a VM
- * @param stallNanos time after which a head that lost a member counts as broken, by the engines' contract
+ * @param heartbeatNanos normal interval between two heartbeats of a VM
+ * @param stallNanos time after which a head that has lost a member stops serving, as the engines guarantee
  */
 public record GroupTimings(long heartbeatNanos, long stallNanos) {
-    /** A VM that missed two heartbeats and half a third is taken for no new group; only probes end the one it is in. */
+    /**
+     * A VM that is silent for this many heartbeat intervals is not used for a new group. It is not removed from the
+     * group that it serves in until probes fail.
+     */
     private static final double SILENT_HEARTBEATS = 2.5;
-    /** A VM that is late by half a heartbeat is asked whether it is there. */
+    /** A VM whose heartbeat is late by half an interval is probed. */
     private static final double LATE_HEARTBEATS = 1.5;
-    /** Added to the stall time of a head that cannot be reached, for the way of the order and rate of clocks. */
+    /**
+     * Added to the stall time of an unreachable head, for the transit time of the order and differences in clock rate.
+     */
     private static final long STALL_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
-    /** Several round trips between VMs, and longer than one lost packet's resend. */
+    /**
+     * Resend interval of orders: several round trips between VMs, and longer than the retransmission of a lost packet.
+     */
     static final long ORDER_RESEND_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
-    /** A head that has begun to close is asked this often whether it is done; closing takes one pass of the engine. */
+    /** Interval at which a closing head is asked whether it has finished; closing takes one engine pass. */
     static final long CLOSING_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** Orders without an answer after which a VM is asked less often. */
-    static final int QUICK_RESENDS = 3;
-    /** Pause between two orders to a VM that has not answered for a while. */
+    /** Number of unanswered orders after which orders are resent at the slow interval. */
+    static final int MAX_QUICK_RESENDS = 3;
+    /** Resend interval for a VM that has left several orders unanswered. */
     static final long SLOW_RESEND_NANOS = TimeUnit.SECONDS.toNanos(3);
-    /** Joins are answered at once and reported when done; a report may come a heartbeat late. */
+    /**
+     * Resend interval of joins. A VM answers at once and reports the finished join in a heartbeat, so the report may
+     * take one heartbeat interval.
+     */
     static final long JOIN_RESEND_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
-    /** Longer than a pass that reads full pieces of prompts, about 280 ms; a probe costs little, so it may be sent in vain. */
+    /**
+     * Time without a byte after which a busy group is probed: longer than a pass with full prefill chunks, about 280
+     * ms. Probes are cheap, so some may be unnecessary.
+     */
     static final long STALLED_MS = 300;
-    /** A probe without an answer is sent once more after this time, on a new connection, in case a packet was lost. */
+    /** Time after which an unanswered probe is resent, on a new connection, in case a packet was lost. */
     static final long PROBE_RESEND_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** Probes in a row without an answer after which a VM counts as lost. */
-    static final int LOST_PROBES = 2;
-    /** Bytes from the group within this time show that every member works. */
-    static final long PROGRESS_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
-    /** Pause between two rounds of probes to one group, so that probes stay few. */
+    /** Number of consecutive unanswered probes after which a VM counts as lost. */
+    static final int MAX_UNANSWERED_PROBES = 2;
+    /** Bytes received from the group within this time show that every member works. */
+    static final long RECENT_PROGRESS_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
+    /** Minimum time between two rounds of probes to a group, which limits the number of probes. */
     static final long PROBE_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000);
-    /** Entry VMs learn within one pull that a group takes no more work. */
-    static final long DRAIN_NOTICE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
-    /** Longest wait for streams of a group whose member leaves; longer than most answers take. */
-    static final long DRAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(3_500);
-    /** A group whose head does not open in this time is given up. */
-    static final long OPEN_NANOS = TimeUnit.MILLISECONDS.toNanos(4_000);
-    /** A model lacks a group for this long before one is formed across domains: VMs that restart come back within it. */
-    static final long FAR_PATIENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
-    /** Loads of second models that run at once; those of VMs that hold no weights go first. */
-    static final int SECOND_LOADS_AT_ONCE = 2;
-    /** Loads slow each other down; a join that takes this many times the load time is given up. */
-    static final int LOAD_PATIENCE = 4;
+    /** Time until entry VMs stop sending to a group that drains: they learn of it with their next pull. */
+    static final long ROUTING_UPDATE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+    /** Maximum time to wait for the streams of a draining group; longer than most answers take. */
+    static final long DRAIN_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(3_500);
+    /** A group is closed if its head does not open within this time. */
+    static final long OPEN_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(4_000);
+    /**
+     * Time for which a model must be short of groups before a cross-domain group is formed; restarting VMs come back
+     * within it.
+     */
+    static final long CROSS_DOMAIN_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
+    /** Maximum number of concurrent loads of second models, so that VMs without any weights load first. */
+    static final int MAX_CONCURRENT_SECOND_LOADS = 2;
+    /** A join or load is abandoned after this many times the load time; loads that run at once slow each other down. */
+    static final int LOAD_TIMEOUT_FACTOR = 4;
 
     long silentNanos() {
         return (long) (SILENT_HEARTBEATS * heartbeatNanos);
@@ -56,8 +73,8 @@
         return (long) (LATE_HEARTBEATS * heartbeatNanos);
     }
 
-    /** Returns after which time a head is broken for sure once one of its members has left. */
-    long surelyBrokenNanos() {
+    /** Returns the time after which a head has certainly stopped serving once one of its members has left. */
+    long headBrokenAfterNanos() {
         return stallNanos + STALL_MARGIN_NANOS;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/InheritedGroups.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/InheritedGroups.java
@@ -18,64 +18,70 @@
 import org.wigeongrade.ids.ModelVersionName;
 
 /**
- * Takes over what an earlier leader formed, from what the VMs report of themselves, whenever they are first heard.
+ * Takes over the groups that an earlier leader formed, as the VMs report them in their heartbeats.
  *
- * <p>Invariants: a VM that reports a group of an earlier leader is not free before that group was taken over and has ended;
- * an order of the earlier leader may still be carried out, so every group that is not whole and open counts as one that may
- * yet open, until its head has left it. Not thread safe.
+ * <p>Invariants: a VM that reports a group of an earlier leader is free only after that group has been taken over and
+ * has ended. An order of the earlier leader may still be carried out, so a group that is incomplete or not open is
+ * treated as one that may still open until its head has left it. Not thread safe.
  */
 final class InheritedGroups {
-    /** Groups that serve. */
+    /** Name prefix of groups that serve. */
     static final String GROUP_PREFIX = "g";
-    /** Single VMs that are kept warm and never opened. */
+    /** Name prefix of warm spares: groups of one VM that are never opened. */
     static final String SPARE_PREFIX = "s";
 
     private record Key(GroupName group, long epoch) {}
 
-    private final Set<Key> own = new HashSet<>();
+    private final Set<Key> owned = new HashSet<>();
     private final Map<Key, Long> endedNanos = new HashMap<>();
     private final Map<Key, Long> firstSeenNanos = new HashMap<>();
 
-    /** Takes the news that this leader formed or took over a group. */
-    void own(GroupName group, long epoch) {
-        own.add(new Key(group, epoch));
+    /** Records that this leader formed or took over a group. */
+    void owned(GroupName group, long epoch) {
+        owned.add(new Key(group, epoch));
     }
 
-    /** Takes the news that a group has ended. */
-    void ended(GroupName group, long epoch, long nowNanos) {
+    /** Records that a group has ended. */
+    void recordEnded(GroupName group, long epoch, long nowNanos) {
         endedNanos.put(new Key(group, epoch), nowNanos);
     }
 
     /**
-     * Returns whether the VM reports a group that was not taken over yet: one of an earlier leader, or one that ended and
-     * that an order carried out late has brought back.
+     * Returns whether the VM reports a group that has not been taken over: one of an earlier leader, or an ended one
+     * that reopened because a delayed order was carried out.
      */
-    boolean isIn(VmRecord vm) {
-        return keyOf(vm).filter(key -> !own.contains(key) || cameBack(key, vm)).isPresent();
+    boolean isInUnadoptedGroup(VmRecord vm) {
+        return keyOf(vm).filter(key -> !owned.contains(key) || reappeared(key, vm)).isPresent();
     }
 
-    private boolean cameBack(Key key, VmRecord vm) {
+    private boolean reappeared(Key key, VmRecord vm) {
         final GroupState state = report(vm).state();
         return endedNanos.containsKey(key)
-                && vm.heardNanos() - endedNanos.get(key) > 0
+                && vm.receivedNanos() - endedNanos.get(key) > 0
                 && (state == GroupState.OPEN || state == GroupState.CLOSING);
     }
 
-    /** Returns the groups of a model that are known from VMs that were heard of late and not taken over yet. */
-    int pending(ModelVersionName model, List<VmRecord> vms, long patienceNanos, long nowNanos) {
+    /**
+     * Returns the number of groups of the model that VMs with recent heartbeats report and that have not been taken
+     * over yet.
+     */
+    int countPending(ModelVersionName model, List<VmRecord> vms, long maxSilenceNanos, long nowNanos) {
         return (int) vms.stream()
-                .filter(vm -> vm.silentNanos(nowNanos) <= patienceNanos)
-                .filter(vm -> isIn(vm)
+                .filter(vm -> vm.silentNanos(nowNanos) <= maxSilenceNanos)
+                .filter(vm -> isInUnadoptedGroup(vm)
                         && vm.heartbeat().loadedModel().filter(model::equals).isPresent())
                 .map(InheritedGroups::keyOf)
                 .distinct()
                 .count();
     }
 
-    /** Takes over the groups that are whole, and those that are not after every member had the time to report. */
-    ImmutableList<ManagedGroup> adopt(EngineProfile engine, List<VmRecord> vms, long patienceNanos, long nowNanos) {
+    /**
+     * Takes over complete, open groups immediately. Takes over other groups, in order to end them, after all members
+     * have had time to report.
+     */
+    ImmutableList<ManagedGroup> adopt(EngineProfile engine, List<VmRecord> vms, long maxWaitNanos, long nowNanos) {
         final Map<Key, List<VmRecord>> byGroup = vms.stream()
-                .filter(this::isIn)
+                .filter(this::isInUnadoptedGroup)
                 .collect(Collectors.groupingBy(vm -> keyOf(vm).orElseThrow()));
         firstSeenNanos.keySet().retainAll(byGroup.keySet());
         byGroup.keySet().forEach(key -> firstSeenNanos.putIfAbsent(key, nowNanos));
@@ -84,19 +90,19 @@
                         group.getKey(),
                         group.getValue(),
                         engine,
-                        nowNanos - firstSeenNanos.get(group.getKey()) > patienceNanos,
+                        nowNanos - firstSeenNanos.get(group.getKey()) > maxWaitNanos,
                         nowNanos)
                         .stream())
                 .collect(ImmutableList.toImmutableList());
         adopted.forEach(group -> {
-            own(group.name, group.epoch);
+            owned(group.name, group.epoch);
             endedNanos.remove(new Key(group.name, group.epoch));
         });
         return adopted;
     }
 
     private static Optional<ManagedGroup> adopt(
-            Key key, List<VmRecord> members, EngineProfile engine, boolean waited, long nowNanos) {
+            Key key, List<VmRecord> members, EngineProfile engine, boolean waitedLongEnough, long nowNanos) {
         final List<VmRecord> byRank = members.stream()
                 .sorted(Comparator.comparingInt(vm -> report(vm).rank()))
                 .toList();
@@ -104,13 +110,13 @@
         final boolean open = headKnown && report(byRank.get(0)).state() == GroupState.OPEN;
         final Optional<GroupedModel> model =
                 byRank.get(0).heartbeat().loadedModel().flatMap(engine::model);
-        final boolean whole = open
+        final boolean completeAndOpen = open
                 && model.filter(known -> known.groupSize() == byRank.size()).isPresent();
-        if (!whole && !waited) {
+        if (!completeAndOpen && !waitedLongEnough) {
             return Optional.empty();
         }
-        final GroupPhase phase = whole ? GroupPhase.SERVING : headKnown ? GroupPhase.CLOSING : GroupPhase.BREAKING;
-        // The model of a group that is about to end decides nothing; the VM may not report one.
+        final GroupPhase phase = completeAndOpen ? GroupPhase.SERVING : headKnown ? GroupPhase.CLOSING : GroupPhase.BREAKING;
+        // The model of a group that is about to end has no effect, so any will do if the VM reports none.
         return Optional.of(new ManagedGroup(
                 key.group(),
                 key.epoch(),
--- a/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
@@ -12,11 +12,12 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * One group from the first join to the moment when its VMs are free again.
+ * Manages a group from the first join until its VMs are free again.
  *
- * <p>Invariants: the head is told to open only after every member reported to be ready under this group and epoch; the
- * group ends only once its head cannot serve any more: it was closed and left, its process ended, or a member left it
- * for longer than the engines' stall time. Time is a parameter. Not thread safe.
+ * <p>Invariants: the head is ordered to open only after every member has reported that it is ready in this group and
+ * epoch. The group ends only once its head can no longer serve: the head has closed and left, its process has ended, or
+ * a member left longer ago than the engines' stall time. Spares and groups that were never ordered to open end at once.
+ * Time is a parameter. Not thread safe.
  */
 final class ManagedGroup {
     final GroupName name;
@@ -26,12 +27,12 @@
     private GroupPhase phase;
     private long phaseSinceNanos;
     private long nextCheckNanos;
-    private long leftSinceNanos = Long.MIN_VALUE;
-    /** False if the head of an inherited group was never heard from; then no member stands for it. */
+    private long firstDepartureNanos = Long.MIN_VALUE;
+    /** False if the head of an inherited group has sent no heartbeat; the head is then missing from the members. */
     private final boolean headKnown;
 
     private boolean openSent;
-    private boolean closed;
+    private boolean headClosed;
     private String cause = "formed";
 
     ManagedGroup(
@@ -61,188 +62,191 @@
         return phase;
     }
 
-    /** Returns why the group is in its phase. */
+    /** Returns why the group entered its current phase. */
     String cause() {
         return cause;
     }
 
-    /** Returns whether the members lie in several fabric domains, which slows the group. */
+    /** Returns whether the members are in several fabric domains, which slows the group down. */
     boolean spansDomains() {
         return members.stream().map(member -> member.domain).distinct().count() > 1;
     }
 
-    boolean has(VmName vm) {
+    boolean hasMember(VmName vm) {
         return members.stream().anyMatch(member -> member.vm.vm().equals(vm));
     }
 
-    /** Returns whether only one VM is kept warm here. */
+    /** Returns whether this is a warm spare: one VM that serves no requests. */
     boolean isSpare() {
         return phase == GroupPhase.SPARE;
     }
 
-    /** Gives the VM of a spare free at once; it was never opened. */
+    /** Ends a spare at once, since it was never opened; its VM becomes free. */
     void endSpare(long nowNanos) {
-        become(GroupPhase.ENDED, "taken for a group", nowNanos);
+        enterPhase(GroupPhase.ENDED, "its VM joins a group that will serve", nowNanos);
     }
 
-    /** Lets the head end its work, then ends the group. */
-    void drain(String why, GroupSurroundings around) {
-        become(GroupPhase.DRAINING, why, around.nowNanos());
+    /** Ends the group after its head has finished its requests. */
+    void drain(String reason, PlanningContext context) {
+        enterPhase(GroupPhase.DRAINING, reason, context.nowNanos());
     }
 
-    void step(GroupSurroundings around) {
+    void step(PlanningContext context) {
         switch (phase) {
-            case FORMING -> form(around);
-            case SPARE -> keepSpare(around);
-            case OPENING -> open(around);
-            case SERVING -> serve(around);
-            case CHECKING -> check(around);
-            case DRAINING -> drain(around);
-            case CLOSING -> close(around);
-            case BREAKING -> awaitBreak(around);
+            case FORMING -> form(context);
+            case SPARE -> keepSpare(context);
+            case OPENING -> open(context);
+            case SERVING -> serve(context);
+            case CHECKING -> check(context);
+            case DRAINING -> drain(context);
+            case CLOSING -> close(context);
+            case BREAKING -> awaitHeadBroken(context);
             case ENDED -> {}
         }
     }
 
-    private void form(GroupSurroundings around) {
+    private void form(PlanningContext context) {
         final Optional<GroupMember> lost = members.stream()
-                .filter(member -> around.isSilent(member) || around.isLeaving(member) || refused(member))
+                .filter(member -> context.isSilent(member) || context.isLeaving(member) || cannotJoin(member))
                 .findFirst();
-        if (lost.isPresent() || isOverdue(around)) {
-            giveUp(
+        if (lost.isPresent() || isFormationOverdue(context)) {
+            abort(
                     "member " + lost.map(member -> member.vm.toString()).orElse("-") + " cannot join",
-                    around.nowNanos());
+                    context.nowNanos());
             return;
         }
-        joinMembers(around);
-        if (members.stream().allMatch(member -> isIn(member, GroupState.READY, around))) {
+        joinMembers(context);
+        if (members.stream().allMatch(member -> reportsState(member, GroupState.READY, context))) {
             openSent = true;
-            order(head(), GroupOrderKind.OPEN, around);
-            become(GroupPhase.OPENING, "every member is ready", around.nowNanos());
+            sendOrder(head(), GroupOrderKind.OPEN, context);
+            enterPhase(GroupPhase.OPENING, "every member is ready", context.nowNanos());
         }
     }
 
-    private void keepSpare(GroupSurroundings around) {
+    private void keepSpare(PlanningContext context) {
         final GroupMember spare = head();
-        if (around.isSilent(spare) || around.isLeaving(spare) || refused(spare)) {
-            become(GroupPhase.ENDED, "spare " + spare.vm + " cannot be kept", around.nowNanos());
+        if (context.isSilent(spare) || context.isLeaving(spare) || cannotJoin(spare)) {
+            enterPhase(GroupPhase.ENDED, "spare " + spare.vm + " cannot be kept", context.nowNanos());
             return;
         }
-        joinMembers(around);
+        joinMembers(context);
     }
 
-    private void joinMembers(GroupSurroundings around) {
+    private void joinMembers(PlanningContext context) {
         members.stream()
-                .filter(member -> around.report(member).filter(this::isThis).isEmpty())
-                .filter(member -> member.isDue(GroupOrderKind.JOIN, GroupTimings.JOIN_RESEND_NANOS, around.nowNanos()))
-                .forEach(member -> order(member, GroupOrderKind.JOIN, around));
+                .filter(member -> context.report(member).filter(this::matches).isEmpty())
+                .filter(member -> member.isDue(GroupOrderKind.JOIN, GroupTimings.JOIN_RESEND_NANOS, context.nowNanos()))
+                .forEach(member -> sendOrder(member, GroupOrderKind.JOIN, context));
     }
 
-    private void open(GroupSurroundings around) {
-        if (isIn(head(), GroupState.OPEN, around)) {
-            become(GroupPhase.SERVING, "the head serves", around.nowNanos());
+    private void open(PlanningContext context) {
+        if (reportsState(head(), GroupState.OPEN, context)) {
+            enterPhase(GroupPhase.SERVING, "the head serves", context.nowNanos());
             return;
         }
-        final boolean late = around.nowNanos() - phaseSinceNanos > GroupTimings.OPEN_NANOS;
-        final Optional<String> fault = faultOf(around);
+        final boolean late = context.nowNanos() - phaseSinceNanos > GroupTimings.OPEN_TIMEOUT_NANOS;
+        final Optional<String> fault = findFault(context);
         if (late || fault.isPresent()) {
-            become(GroupPhase.CLOSING, fault.orElse("the head did not open"), around.nowNanos());
+            enterPhase(GroupPhase.CLOSING, fault.orElse("the head did not open"), context.nowNanos());
             return;
         }
-        if (head().isDue(GroupOrderKind.OPEN, GroupTimings.ORDER_RESEND_NANOS, around.nowNanos())) {
-            order(head(), GroupOrderKind.OPEN, around);
+        if (head().isDue(GroupOrderKind.OPEN, GroupTimings.ORDER_RESEND_NANOS, context.nowNanos())) {
+            sendOrder(head(), GroupOrderKind.OPEN, context);
         }
     }
 
-    private void serve(GroupSurroundings around) {
-        final Optional<String> fault = faultOf(around);
+    private void serve(PlanningContext context) {
+        final Optional<String> fault = findFault(context);
         if (fault.isPresent()) {
-            become(GroupPhase.CLOSING, fault.get(), around.nowNanos());
+            enterPhase(GroupPhase.CLOSING, fault.get(), context.nowNanos());
             return;
         }
         final Optional<GroupMember> leaving =
-                members.stream().filter(around::isLeaving).findFirst();
+                members.stream().filter(context::isLeaving).findFirst();
         if (leaving.isPresent()) {
-            become(GroupPhase.DRAINING, "member " + leaving.get().vm + " leaves", around.nowNanos());
+            enterPhase(GroupPhase.DRAINING, "member " + leaving.get().vm + " leaves", context.nowNanos());
             return;
         }
-        if (isSuspect(around) && around.nowNanos() - nextCheckNanos >= 0) {
-            members.forEach(GroupMember::forgetUnanswered);
-            members.forEach(member -> order(member, GroupOrderKind.PROBE, around));
-            become(GroupPhase.CHECKING, "no progress or a late heartbeat", around.nowNanos());
+        if (isSuspect(context) && context.nowNanos() - nextCheckNanos >= 0) {
+            members.forEach(GroupMember::resetUnansweredOrders);
+            members.forEach(member -> sendOrder(member, GroupOrderKind.PROBE, context));
+            enterPhase(GroupPhase.CHECKING, "no progress, a refused connection or a late heartbeat", context.nowNanos());
         }
     }
 
-    private void check(GroupSurroundings around) {
-        final Optional<String> fault = faultOf(around);
+    private void check(PlanningContext context) {
+        final Optional<String> fault = findFault(context);
         if (fault.isPresent()) {
-            become(GroupPhase.CLOSING, fault.get(), around.nowNanos());
+            enterPhase(GroupPhase.CLOSING, fault.get(), context.nowNanos());
             return;
         }
-        final boolean progressed = around.evidenceOf(head()).progressedSince(phaseSinceNanos);
+        final boolean progressed = context.observationOf(head()).progressedSince(phaseSinceNanos);
         if (progressed || members.stream().allMatch(member -> member.answeredSince(phaseSinceNanos))) {
-            nextCheckNanos = around.nowNanos() + GroupTimings.PROBE_PAUSE_NANOS;
-            become(GroupPhase.SERVING, "every member answers", around.nowNanos());
+            nextCheckNanos = context.nowNanos() + GroupTimings.PROBE_PAUSE_NANOS;
+            enterPhase(GroupPhase.SERVING, "the group makes progress or every member answers", context.nowNanos());
             return;
         }
         final Optional<GroupMember> lost = members.stream()
                 .filter(member -> !member.answeredSince(phaseSinceNanos) && isLost(member))
                 .findFirst();
         if (lost.isPresent()) {
-            become(GroupPhase.CLOSING, "member " + lost.get().vm + " does not answer", around.nowNanos());
+            enterPhase(GroupPhase.CLOSING, "member " + lost.get().vm + " does not answer", context.nowNanos());
             return;
         }
         members.stream()
                 .filter(member -> !member.answeredSince(phaseSinceNanos))
                 .filter(member ->
-                        member.isDue(GroupOrderKind.PROBE, GroupTimings.PROBE_RESEND_NANOS, around.nowNanos()))
-                .forEach(member -> order(member, GroupOrderKind.PROBE, around));
+                        member.isDue(GroupOrderKind.PROBE, GroupTimings.PROBE_RESEND_NANOS, context.nowNanos()))
+                .forEach(member -> sendOrder(member, GroupOrderKind.PROBE, context));
     }
 
     private static boolean isLost(GroupMember member) {
         final Optional<OrderAnswer> answer = member.answerTo(GroupOrderKind.PROBE);
-        final boolean anotherProcess = answer.filter(
+        final boolean processGone = answer.filter(
                         given -> given == OrderAnswer.NO_LISTENER || given == OrderAnswer.ENDED)
                 .isPresent();
-        return anotherProcess || member.unanswered() >= GroupTimings.LOST_PROBES;
+        return processGone || member.unansweredOrders() >= GroupTimings.MAX_UNANSWERED_PROBES;
     }
 
-    private void drain(GroupSurroundings around) {
-        final long elapsedNanos = around.nowNanos() - phaseSinceNanos;
-        if (faultOf(around).isPresent() || elapsedNanos > GroupTimings.DRAIN_NANOS || isClosed(head())) {
-            become(GroupPhase.CLOSING, cause, around.nowNanos());
+    private void drain(PlanningContext context) {
+        final long elapsedNanos = context.nowNanos() - phaseSinceNanos;
+        if (findFault(context).isPresent() || elapsedNanos > GroupTimings.DRAIN_TIMEOUT_NANOS || isClosed(head())) {
+            enterPhase(GroupPhase.CLOSING, cause, context.nowNanos());
             return;
         }
-        if (elapsedNanos > GroupTimings.DRAIN_NOTICE_NANOS
-                && head().isDue(GroupOrderKind.CLOSE_WHEN_DONE, GroupTimings.ORDER_RESEND_NANOS, around.nowNanos())) {
-            order(head(), GroupOrderKind.CLOSE_WHEN_DONE, around);
+        if (elapsedNanos > GroupTimings.ROUTING_UPDATE_NANOS
+                && head().isDue(GroupOrderKind.CLOSE_WHEN_DONE, GroupTimings.ORDER_RESEND_NANOS, context.nowNanos())) {
+            sendOrder(head(), GroupOrderKind.CLOSE_WHEN_DONE, context);
         }
     }
 
-    private void close(GroupSurroundings around) {
-        if (around.record(head()).isEmpty()) {
-            become(GroupPhase.ENDED, cause, around.nowNanos());
+    private void close(PlanningContext context) {
+        if (context.record(head()).isEmpty()) {
+            enterPhase(GroupPhase.ENDED, cause, context.nowNanos());
             return;
         }
-        if (head().answerTo(GroupOrderKind.LEAVE).filter(OrderAnswer::showsLife).isPresent()) {
-            become(GroupPhase.ENDED, cause, around.nowNanos());
+        if (head().answerTo(GroupOrderKind.LEAVE).filter(OrderAnswer::isFromLiveVm).isPresent()) {
+            enterPhase(GroupPhase.ENDED, cause, context.nowNanos());
             return;
         }
-        if (head().unanswered() > 0) {
-            become(GroupPhase.BREAKING, cause + "; the head does not answer", around.nowNanos());
+        if (head().unansweredOrders() > 0) {
+            enterPhase(GroupPhase.BREAKING, cause + "; the head does not answer", context.nowNanos());
             return;
         }
-        closed = closed || isClosed(head());
-        final GroupOrderKind next = closed ? GroupOrderKind.LEAVE : GroupOrderKind.CLOSE_NOW;
+        headClosed = headClosed || isClosed(head());
+        final GroupOrderKind next = headClosed ? GroupOrderKind.LEAVE : GroupOrderKind.CLOSE_NOW;
         final boolean begun =
                 head().answerTo(next).filter(OrderAnswer.BEGUN::equals).isPresent();
         final long resendNanos = begun ? GroupTimings.CLOSING_POLL_NANOS : GroupTimings.ORDER_RESEND_NANOS;
-        if (head().isDue(next, resendNanos, around.nowNanos())) {
-            order(head(), next, around);
+        if (head().isDue(next, resendNanos, context.nowNanos())) {
+            sendOrder(head(), next, context);
         }
     }
 
-    /** The order to close counts once the head says that it is done or that it is not open in this group. */
+    /**
+     * Returns whether the head is closed: it answered the order to close with done, or refused it because it is not
+     * open in this group.
+     */
     private static boolean isClosed(GroupMember head) {
         return head.answerTo(GroupOrderKind.CLOSE_NOW)
                 .or(() -> head.answerTo(GroupOrderKind.CLOSE_WHEN_DONE))
@@ -250,55 +254,55 @@
                 .isPresent();
     }
 
-    private void awaitBreak(GroupSurroundings around) {
-        final boolean waited = leftSinceNanos != Long.MIN_VALUE
-                && around.nowNanos() - leftSinceNanos >= around.timings().surelyBrokenNanos();
-        if (waited || (headKnown && headStopped(around))) {
-            become(GroupPhase.ENDED, cause, around.nowNanos());
+    private void awaitHeadBroken(PlanningContext context) {
+        final boolean stallTimePassed = firstDepartureNanos != Long.MIN_VALUE
+                && context.nowNanos() - firstDepartureNanos >= context.timings().headBrokenAfterNanos();
+        if (stallTimePassed || (headKnown && headStopped(context))) {
+            enterPhase(GroupPhase.ENDED, cause, context.nowNanos());
             return;
         }
-        noteFirstMemberThatLeft(around.nowNanos());
+        recordFirstDeparture(context.nowNanos());
         members.stream()
                 .filter(member -> !hasLeft(member))
                 .filter(member ->
-                        member.isDue(GroupOrderKind.LEAVE, GroupTimings.ORDER_RESEND_NANOS, around.nowNanos()))
-                .forEach(member -> order(member, GroupOrderKind.LEAVE, around));
+                        member.isDue(GroupOrderKind.LEAVE, GroupTimings.ORDER_RESEND_NANOS, context.nowNanos()))
+                .forEach(member -> sendOrder(member, GroupOrderKind.LEAVE, context));
     }
 
-    /** Returns whether the head ended, broke, or left the group after all. */
-    private boolean headStopped(GroupSurroundings around) {
-        return around.record(head()).isEmpty()
-                || (isIn(head(), GroupState.BROKEN, around) && !around.isLate(head()))
+    /** Returns whether the head has ended, reported that it is broken, or left the group. */
+    private boolean headStopped(PlanningContext context) {
+        return context.record(head()).isEmpty()
+                || (reportsState(head(), GroupState.BROKEN, context) && !context.isHeartbeatLate(head()))
                 || head().hasNoListener()
                 || hasLeft(head());
     }
 
-    private void noteFirstMemberThatLeft(long nowNanos) {
+    private void recordFirstDeparture(long nowNanos) {
         final boolean anyLeft = members.stream().skip(headKnown ? 1 : 0).anyMatch(ManagedGroup::hasLeft);
-        if (anyLeft && leftSinceNanos == Long.MIN_VALUE) {
-            leftSinceNanos = nowNanos;
+        if (anyLeft && firstDepartureNanos == Long.MIN_VALUE) {
+            firstDepartureNanos = nowNanos;
         }
     }
 
     private static boolean hasLeft(GroupMember member) {
         return member.answerTo(GroupOrderKind.LEAVE)
-                .filter(OrderAnswer::showsLife)
+                .filter(OrderAnswer::isFromLiveVm)
                 .isPresent();
     }
 
-    /** Returns what proves that the group cannot serve any more. */
-    private Optional<String> faultOf(GroupSurroundings around) {
+    /** Returns a message about the fault that keeps the group from serving; empty if there is none. */
+    private Optional<String> findFault(PlanningContext context) {
         for (final GroupMember member : members) {
-            if (around.record(member).isEmpty()) {
+            if (context.record(member).isEmpty()) {
                 return Optional.of("member " + member.vm + " ended");
             }
-            if (reportsOtherwise(member, around)) {
+            if (reportsOtherGroup(member, context)) {
                 return Optional.of("member " + member.vm + " is not in the group");
             }
         }
-        final boolean headStopped = heardSince(head(), around)
-                && around.report(head())
-                        .filter(report -> isThis(report) && isStopped(report.state()))
+        final boolean headStopped = sentHeartbeatInPhase(head(), context)
+                && context.report(head())
+                        .filter(report -> matches(report) && isStopped(report.state()))
                         .isPresent();
         return headStopped ? Optional.of("the head reports that it does not serve") : Optional.empty();
     }
@@ -307,79 +311,79 @@
         return state == GroupState.BROKEN || (phase.isRoutable() && state != GroupState.OPEN);
     }
 
-    private boolean reportsOtherwise(GroupMember member, GroupSurroundings around) {
-        return heardSince(member, around)
-                && around.report(member).filter(this::isThis).isEmpty();
+    private boolean reportsOtherGroup(GroupMember member, PlanningContext context) {
+        return sentHeartbeatInPhase(member, context)
+                && context.report(member).filter(this::matches).isEmpty();
     }
 
-    private boolean heardSince(GroupMember member, GroupSurroundings around) {
-        return around.record(member)
-                .map(VmRecord::heardNanos)
-                .filter(heardNanos -> heardNanos - phaseSinceNanos >= 0)
+    private boolean sentHeartbeatInPhase(GroupMember member, PlanningContext context) {
+        return context.record(member)
+                .map(VmRecord::receivedNanos)
+                .filter(receivedNanos -> receivedNanos - phaseSinceNanos >= 0)
                 .isPresent();
     }
 
-    private boolean isSuspect(GroupSurroundings around) {
-        final EndpointEvidence evidence = around.evidenceOf(head());
-        if (evidence.refusedConnection()) {
+    private boolean isSuspect(PlanningContext context) {
+        final EndpointEvidence observation = context.observationOf(head());
+        if (observation.refusedConnection()) {
             return true;
         }
-        if (progresses(around)) {
+        if (isProgressing(context)) {
             return false;
         }
-        final boolean stalled = evidence.inFlight() > 0 && evidence.stalledMs() >= GroupTimings.STALLED_MS;
-        return stalled || members.stream().anyMatch(around::isLate);
+        final boolean stalled = observation.inFlight() > 0 && observation.stalledMs() >= GroupTimings.STALLED_MS;
+        return stalled || members.stream().anyMatch(context::isHeartbeatLate);
     }
 
-    private boolean progresses(GroupSurroundings around) {
-        final EndpointEvidence evidence = around.evidenceOf(head());
-        final boolean stalled = evidence.inFlight() > 0 && evidence.stalledMs() >= GroupTimings.STALLED_MS;
-        return !stalled && evidence.progressedWithin(GroupTimings.PROGRESS_NANOS, around.nowNanos());
+    private boolean isProgressing(PlanningContext context) {
+        final EndpointEvidence observation = context.observationOf(head());
+        final boolean stalled = observation.inFlight() > 0 && observation.stalledMs() >= GroupTimings.STALLED_MS;
+        return !stalled && observation.progressedWithin(GroupTimings.RECENT_PROGRESS_NANOS, context.nowNanos());
     }
 
-    private boolean isIn(GroupMember member, GroupState state, GroupSurroundings around) {
-        return around.report(member)
-                .filter(report -> isThis(report) && report.state() == state)
+    private boolean reportsState(GroupMember member, GroupState state, PlanningContext context) {
+        return context.report(member)
+                .filter(report -> matches(report) && report.state() == state)
                 .isPresent();
     }
 
-    private boolean isThis(GroupReport report) {
+    private boolean matches(GroupReport report) {
         return report.group().equals(name) && report.epoch() == epoch;
     }
 
-    private static boolean refused(GroupMember member) {
+    private static boolean cannotJoin(GroupMember member) {
         return member.answerTo(GroupOrderKind.JOIN)
                         .filter(answer -> answer == OrderAnswer.REFUSED || answer == OrderAnswer.ENDED)
                         .isPresent()
-                || member.unanswered() > 1;
+                || member.unansweredOrders() > 1;
     }
 
-    private boolean isOverdue(GroupSurroundings around) {
-        final long patienceMs = GroupTimings.LOAD_PATIENCE * (model.loadMs() + model.warmupMs());
-        return around.nowNanos() - phaseSinceNanos > TimeUnit.MILLISECONDS.toNanos(patienceMs);
+    private boolean isFormationOverdue(PlanningContext context) {
+        final long timeoutMs = GroupTimings.LOAD_TIMEOUT_FACTOR * (model.loadMs() + model.warmupMs());
+        return context.nowNanos() - phaseSinceNanos > TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     }
 
-    private void giveUp(String why, long nowNanos) {
-        become(openSent ? GroupPhase.CLOSING : GroupPhase.ENDED, why, nowNanos);
+    private void abort(String reason, long nowNanos) {
+        enterPhase(openSent ? GroupPhase.CLOSING : GroupPhase.ENDED, reason, nowNanos);
     }
 
-    private void order(GroupMember member, GroupOrderKind kind, GroupSurroundings around) {
-        member.sent(kind, around.nowNanos());
-        around.orders()
+    private void sendOrder(GroupMember member, GroupOrderKind kind, PlanningContext context) {
+        member.recordSent(kind, context.nowNanos());
+        context.orders()
                 .accept(new GroupOrder(
                         kind,
                         member.vm,
                         member.address,
-                        around.fencingTerm(),
+                        context.fencingTerm(),
                         name,
                         epoch,
                         model.name(),
                         members.stream().map(each -> each.vm.vm()).toList()));
     }
 
-    private void become(GroupPhase next, String why, long nowNanos) {
+    private void enterPhase(GroupPhase next, String reason, long nowNanos) {
         phase = next;
         phaseSinceNanos = nowNanos;
-        cause = why;
+        cause = reason;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/FormationChoice.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/MemberSelection.java
@@ -12,17 +12,17 @@
 import org.wigeongrade.ids.FabricDomain;
 
 /**
- * The VMs that a new group of a model is formed of. Immutable; safe for use from any thread.
+ * The VMs selected to form a new group of a model. Immutable; safe for use from any thread.
  *
- * @param joinMs about how long the slowest member needs to join
- * @param loads members that must load their weights from the weight store
+ * @param estimatedJoinMs estimated time that the slowest member needs to join
+ * @param storeLoads number of members that must load the weights from the weight store
  */
-record FormationChoice(ImmutableList<VmHeartbeat> members, long joinMs, int loads) {
+record MemberSelection(ImmutableList<VmHeartbeat> members, long estimatedJoinMs, int storeLoads) {
     /**
-     * Chooses among free VMs the fabric domain whose group would be ready first; among equals the one with the fewest
-     * groups of the model, then the one with the most free VMs.
+     * Selects free VMs of the fabric domain whose group would be ready first. Ties go to the domain with the fewest
+     * groups of the model, then to the one with the most free VMs.
      */
-    static Optional<FormationChoice> within(
+    static Optional<MemberSelection> withinDomain(
             List<VmHeartbeat> free, GroupedModel model, ToIntFunction<FabricDomain> groupsInDomain) {
         final Map<FabricDomain, List<VmHeartbeat>> byDomain = free.stream()
                 .filter(vm -> vm.domain().isPresent())
@@ -30,22 +30,25 @@
         return byDomain.entrySet().stream()
                 .filter(domain -> domain.getValue().size() >= model.groupSize())
                 .min(Comparator.comparingLong((Map.Entry<FabricDomain, List<VmHeartbeat>> domain) ->
-                                of(domain.getValue(), model).joinMs())
+                                selectFastest(domain.getValue(), model).estimatedJoinMs())
                         .thenComparingInt(domain -> groupsInDomain.applyAsInt(domain.getKey()))
                         .thenComparingInt(domain -> -domain.getValue().size())
                         .thenComparing(Map.Entry::getKey))
-                .map(domain -> of(domain.getValue(), model));
+                .map(domain -> selectFastest(domain.getValue(), model));
     }
 
-    /** Chooses VMs that need not load, from any domains; such a group is slow, but serves at once. */
-    static Optional<FormationChoice> acrossDomains(List<VmHeartbeat> free, GroupedModel model) {
-        final List<VmHeartbeat> holding = free.stream()
-                .filter(vm -> Readiness.of(vm, model) != Readiness.EMPTY)
+    /**
+     * Selects VMs of any domains that need not load the weights from the store. Such a group is slow but can serve at
+     * once.
+     */
+    static Optional<MemberSelection> acrossDomains(List<VmHeartbeat> free, GroupedModel model) {
+        final List<VmHeartbeat> vmsWithWeights = free.stream()
+                .filter(vm -> Readiness.of(vm, model) != Readiness.NEEDS_LOAD)
                 .toList();
-        return holding.size() < model.groupSize() ? Optional.empty() : Optional.of(of(holding, model));
+        return vmsWithWeights.size() < model.groupSize() ? Optional.empty() : Optional.of(selectFastest(vmsWithWeights, model));
     }
 
-    private static FormationChoice of(List<VmHeartbeat> free, GroupedModel model) {
+    private static MemberSelection selectFastest(List<VmHeartbeat> free, GroupedModel model) {
         final ImmutableList<VmHeartbeat> members = free.stream()
                 .sorted(Comparator.comparing((VmHeartbeat vm) -> Readiness.of(vm, model))
                         .thenComparing(vm -> vm.coldForMs() > 0)
@@ -53,13 +56,13 @@
                         .thenComparing(vm -> vm.vm().vm()))
                 .limit(model.groupSize())
                 .collect(ImmutableList.toImmutableList());
-        final long joinMs = members.stream()
-                .mapToLong(vm -> Readiness.of(vm, model).joinMs(model))
+        final long estimatedJoinMs = members.stream()
+                .mapToLong(vm -> Readiness.of(vm, model).estimatedJoinMs(model))
                 .max()
                 .orElse(0);
-        final int loads = (int) members.stream()
-                .filter(vm -> Readiness.of(vm, model) == Readiness.EMPTY)
+        final int storeLoads = (int) members.stream()
+                .filter(vm -> Readiness.of(vm, model) == Readiness.NEEDS_LOAD)
                 .count();
-        return new FormationChoice(members, joinMs, loads);
+        return new MemberSelection(members, estimatedJoinMs, storeLoads);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/OrderAnswer.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/OrderAnswer.java
@@ -1,22 +1,22 @@
 package org.wigeongrade.decisions.grouping;
 
-/** What came back for an order. Immutable; safe for use from any thread. */
+/** The answer to an order. Immutable; safe for use from any thread. */
 public enum OrderAnswer {
-    /** The VM has begun to carry the order out. */
+    /** The VM has started to carry out the order. */
     BEGUN,
-    /** The order is carried out, or its outcome already held. */
+    /** The order is carried out, or there was nothing left to do. */
     DONE,
-    /** The order does not fit the VM's state, or is older than one that the VM has seen. */
+    /** The order does not match the VM's state, or is older than one that the VM has seen. */
     REFUSED,
-    /** Another VM answers at the address: the one that was meant has ended. */
+    /** Another VM answered at the address: the addressed one has ended. */
     ENDED,
     /** The address refused the connection. */
     NO_LISTENER,
-    /** No answer in time; the order may be carried out later. */
+    /** No answer came in time; the order may still be carried out later. */
     NONE;
 
-    /** Returns whether the VM itself answered, so that it is alive. */
-    public boolean showsLife() {
+    /** Returns whether the addressed VM answered, which shows that it is alive. */
+    public boolean isFromLiveVm() {
         return this == BEGUN || this == DONE || this == REFUSED;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupSurroundings.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/PlanningContext.java
@@ -8,23 +8,23 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * What one step of a group sees, and where it puts its orders. Not thread safe.
+ * The input of one planning step and the consumer of the orders that the step sends. Not thread safe.
  *
  * @param fencingTerm term of this leader
  */
-record GroupSurroundings(
+record PlanningContext(
         long nowNanos,
         long fencingTerm,
         GroupTimings timings,
         Map<VmName, VmRecord> vms,
-        Map<VmName, EndpointEvidence> evidence,
+        Map<VmName, EndpointEvidence> observations,
         Consumer<GroupOrder> orders) {
 
-    EndpointEvidence evidenceOf(GroupMember member) {
-        return evidence.getOrDefault(member.vm.vm(), EndpointEvidence.NONE);
+    EndpointEvidence observationOf(GroupMember member) {
+        return observations.getOrDefault(member.vm.vm(), EndpointEvidence.NONE);
     }
 
-    /** Returns the record of exactly this incarnation; empty if it has ended. */
+    /** Returns the record of this incarnation of the VM; empty if it has ended or another incarnation replaced it. */
     Optional<VmRecord> record(GroupMember member) {
         return Optional.ofNullable(vms.get(member.vm.vm()))
                 .filter(found -> found.vm().equals(member.vm) && !found.ended());
@@ -40,7 +40,7 @@
                 .isEmpty();
     }
 
-    boolean isLate(GroupMember member) {
+    boolean isHeartbeatLate(GroupMember member) {
         return record(member)
                 .filter(found -> found.silentNanos(nowNanos) <= timings.lateNanos())
                 .isEmpty();
--- a/src/main/java/org/wigeongrade/decisions/grouping/ServingGroup.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/ServingGroup.java
@@ -5,10 +5,10 @@
 import org.wigeongrade.ids.VmIncarnation;
 
 /**
- * A whole group and the VM that takes its requests. Immutable; safe for use from any thread.
+ * A complete group and the VM that receives its requests. Immutable; safe for use from any thread.
  *
- * @param paceFactor factor on the group's times that comes from its place in the fabric
- * @param suspect whether something speaks against a member, so that new requests should go elsewhere
+ * @param paceFactor factor by which the group's position in the fabric multiplies its latencies
+ * @param suspect whether a member may have failed, so that new requests should go elsewhere
  */
 public record ServingGroup(
         GroupName group, VmIncarnation head, ModelVersionName model, double paceFactor, boolean suspect) {}
--- a/src/main/java/org/wigeongrade/decisions/grouping/SpareChoice.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/SpareModelSelector.java
@@ -9,36 +9,35 @@
 import org.wigeongrade.ids.FabricDomain;
 
 /**
- * Chooses the model that a free VM is kept warm for: the one with the fewest spares in the domain for each VM of a group,
- * since a larger group loses a member more often. A VM that was in a group before stays with the model of that group.
- * Stateless.
+ * Selects the model that a free VM is kept warm for: the one with the lowest ratio of spares in the domain to group
+ * size, because a larger group loses a member more often. A VM that has a model loaded keeps that model. Stateless.
  */
-final class SpareChoice {
-    private SpareChoice() {}
+final class SpareModelSelector {
+    private SpareModelSelector() {}
 
-    static Optional<GroupedModel> modelFor(
-            VmHeartbeat vm, EngineProfile engine, List<ManagedGroup> groups, GroupSurroundings around) {
-        final Optional<GroupedModel> held = engine.models().stream()
+    static Optional<GroupedModel> selectModel(
+            VmHeartbeat vm, EngineProfile engine, List<ManagedGroup> groups, PlanningContext context) {
+        final Optional<GroupedModel> loaded = engine.models().stream()
                 .filter(model -> Readiness.of(vm, model) == Readiness.WARM)
                 .findFirst();
-        return held.or(() -> fewestSpares(vm, engine, groups, around));
+        return loaded.or(() -> modelWithFewestSpares(vm, engine, groups, context));
     }
 
-    private static Optional<GroupedModel> fewestSpares(
-            VmHeartbeat vm, EngineProfile engine, List<ManagedGroup> groups, GroupSurroundings around) {
+    private static Optional<GroupedModel> modelWithFewestSpares(
+            VmHeartbeat vm, EngineProfile engine, List<ManagedGroup> groups, PlanningContext context) {
         return vm.domain()
                 .flatMap(domain -> engine.models().stream()
                         .min(Comparator.comparingDouble((GroupedModel model) ->
-                                        (double) spares(domain, model, groups, around) / model.groupSize())
+                                        (double) countSpares(domain, model, groups, context) / model.groupSize())
                                 .thenComparing(model -> Readiness.of(vm, model))
                                 .thenComparingInt(model -> -model.groupSize())));
     }
 
-    private static int spares(
-            FabricDomain domain, GroupedModel model, List<ManagedGroup> groups, GroupSurroundings around) {
+    private static int countSpares(
+            FabricDomain domain, GroupedModel model, List<ManagedGroup> groups, PlanningContext context) {
         return (int) groups.stream()
                 .filter(group -> group.isSpare() && group.model.name().equals(model.name()))
-                .filter(group -> around.record(group.head())
+                .filter(group -> context.record(group.head())
                         .flatMap(spare -> spare.heartbeat().domain())
                         .filter(domain::equals)
                         .isPresent())
--- a/src/main/java/org/wigeongrade/decisions/published/EngineProfile.java
+++ b/src/main/java/org/wigeongrade/decisions/published/EngineProfile.java
@@ -6,35 +6,37 @@
 import org.wigeongrade.ids.ModelVersionName;
 
 /**
- * How the engines of a service batch and how long their steps take, as published. Immutable; safe for use from any thread.
+ * Published parameters of a service's engines: batch sizes, step times and load limits. Immutable; safe for use from
+ * any thread.
  *
- * @param slots requests that one group runs at once
- * @param strideSteps token steps of one pass that has writers; an event holds as many tokens
- * @param stepMs time of a token step
- * @param perSequenceMs additional time of a step for each request that writes
- * @param contextMsPerKilotoken additional time of a step for each 1,000 tokens of context
- * @param readTokensPerSecond prompt tokens that are read in a second
- * @param pairsMsPerMillion additional time of reading for each million pairs of a token and an earlier one
- * @param chunkTokens prompt tokens that are read in one step at most
- * @param loadsPerSecond loads from the weight store that may begin in a second, over all VMs
- * @param loadsAtOnce loads that may run at once without slowing each other
- * @param formationMs time from the order to open a group until it serves
- * @param farFactor factor on all times of a group whose members lie in several fabric domains
+ * @param slots number of requests that one group runs at once
+ * @param stepsPerPass decode steps of one pass that has decoding requests; an event carries as many tokens
+ * @param stepMs base time of a decode step
+ * @param perSequenceMs additional time of a step for each decoding request
+ * @param contextMsPerKilotoken additional time of a step for each 1,000 tokens of a decoding request's context
+ * @param prefillTokensPerSecond prompt tokens prefilled per second
+ * @param attentionMsPerMillionPairs additional time of prefill for each million pairs of a token and an earlier one,
+ * which is the cost of attention
+ * @param prefillChunkTokens maximum number of prompt tokens prefilled in one step
+ * @param loadsPerSecond number of loads from the weight store that may start per second, over all VMs
+ * @param maxConcurrentLoads number of loads that can run at once without slowing each other down
+ * @param formationMs time from the order to open a group until the group serves
+ * @param crossDomainFactor factor on all latencies of a group whose members are in several fabric domains
  */
 public record EngineProfile(
         int slots,
-        int strideSteps,
+        int stepsPerPass,
         List<GroupedModel> models,
         double stepMs,
         double perSequenceMs,
         double contextMsPerKilotoken,
-        double readTokensPerSecond,
-        double pairsMsPerMillion,
-        int chunkTokens,
+        double prefillTokensPerSecond,
+        double attentionMsPerMillionPairs,
+        int prefillChunkTokens,
         double loadsPerSecond,
-        int loadsAtOnce,
+        int maxConcurrentLoads,
         long formationMs,
-        double farFactor) {
+        double crossDomainFactor) {
     public EngineProfile {
         models = ImmutableList.copyOf(models);
     }
--- a/src/main/java/org/wigeongrade/decisions/published/PublishOutcome.java
+++ b/src/main/java/org/wigeongrade/decisions/published/PublishOutcome.java
@@ -1,11 +1,11 @@
 package org.wigeongrade.decisions.published;
 
-/** What became of a configuration that was handed in. Immutable; safe for use from any thread. */
+/** The result of publishing a configuration. Immutable; safe for use from any thread. */
 public enum PublishOutcome {
-    /** It has the highest version and is in force. */
+    /** The configuration has the highest version and is now in force. */
     IN_FORCE,
-    /** An equal or newer one is in force; nothing changed. */
+    /** The same configuration or a newer version is in force; nothing changed. */
     UNCHANGED,
-    /** The version in force has another content; nothing changed. */
+    /** The version in force is the same but its content differs; nothing changed. */
     VERSION_TAKEN
 }
--- a/src/main/java/org/wigeongrade/decisions/published/PublishedCommand.java
+++ b/src/main/java/org/wigeongrade/decisions/published/PublishedCommand.java
@@ -16,10 +16,10 @@
     @JsonSubTypes.Type(value = PublishedCommand.SetZone.class, name = "set_zone")
 })
 public sealed interface PublishedCommand {
-    /** Publishes a document that was checked before. */
+    /** Publishes a document, which must have been checked before. */
     record Publish(long version, Bytes document) implements PublishedCommand {}
 
-    /** Takes an availability zone out or brings it in. */
+    /** Takes an availability zone out of service or brings it back. */
     record SetZone(AvailabilityZone zone, boolean out) implements PublishedCommand {}
 
     /** Returns the command as JSON. */
@@ -27,20 +27,20 @@
         try {
             return Codec.MAPPER.writerFor(PublishedCommand.class).writeValueAsBytes(this);
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException("command cannot be encoded", e);
+            throw new UncheckedIOException("published command cannot be encoded as JSON", e);
         }
     }
 
-    /** Reads what {@link #encode} wrote. */
+    /** Decodes the result of {@link #encode}. */
     static PublishedCommand decode(byte[] bytes) {
         try {
             return Codec.MAPPER.readValue(bytes, PublishedCommand.class);
         } catch (IOException e) {
-            throw new UncheckedIOException("command of the log cannot be read", e);
+            throw new UncheckedIOException("published command in the log cannot be decoded", e);
         }
     }
 
-    /** Holds the mapper, which is safe for use from any thread. */
+    /** Holds the JSON mapper, which is safe for use from any thread. */
     final class Codec {
         static final ObjectMapper MAPPER = new ObjectMapper();
 
--- a/src/main/java/org/wigeongrade/decisions/published/PublishedConfiguration.java
+++ b/src/main/java/org/wigeongrade/decisions/published/PublishedConfiguration.java
@@ -11,7 +11,7 @@
 import org.wigeongrade.ids.ServiceName;
 
 /**
- * Everything that operators publish under one version, indexed for lookup.
+ * A configuration that operators publish under one version, indexed for lookup.
  *
  * <p>Invariant: checked by {@link PublishedChecker} before it is published. Immutable; safe for use from any thread.
  */
@@ -66,7 +66,7 @@
         return Optional.ofNullable(services.get(name));
     }
 
-    /** Returns the route of the host with the longest prefix that begins the path. */
+    /** Returns the host's route with the longest prefix of the path. */
     public Optional<Route> route(String hostname, String path) {
         return longestPrefixFirst.getOrDefault(hostname, ImmutableList.of()).stream()
                 .filter(route -> path.startsWith(route.pathPrefix()))
--- a/src/main/java/org/wigeongrade/decisions/published/PublishedRule.java
+++ b/src/main/java/org/wigeongrade/decisions/published/PublishedRule.java
@@ -7,6 +7,6 @@
     /** Returns the reason code, which docs/RULES.md lists. */
     String code();
 
-    /** Returns a message for each place that has the fault. */
-    Stream<String> faults(PublishedConfiguration configuration);
+    /** Returns a message for each occurrence of the fault. */
+    Stream<String> findFaults(PublishedConfiguration configuration);
 }
--- a/src/main/java/org/wigeongrade/decisions/published/PublishedService.java
+++ b/src/main/java/org/wigeongrade/decisions/published/PublishedService.java
@@ -4,11 +4,11 @@
 import org.wigeongrade.ids.ServiceName;
 
 /**
- * A set of endpoints that answer the same requests. Immutable; safe for use from any thread.
+ * A set of interchangeable endpoints. Immutable; safe for use from any thread.
  *
- * @param maxConnections connections that one endpoint accepts from all callers together
- * @param coldRatePerSecond requests a second that an endpoint bears in a cold start; 0 if it has none
- * @param engine present where groups of engine VMs serve models
+ * @param maxConnections maximum number of connections that one endpoint accepts, over all its callers
+ * @param coldRatePerSecond requests per second that an endpoint can handle during its cold start; 0 if it has none
+ * @param engine present if groups of engine VMs serve the models of this service
  */
 public record PublishedService(
         ServiceName name, int maxConnections, double coldRatePerSecond, Optional<EngineProfile> engine) {}
--- a/src/main/java/org/wigeongrade/decisions/published/PublishedState.java
+++ b/src/main/java/org/wigeongrade/decisions/published/PublishedState.java
@@ -6,7 +6,7 @@
 import org.wigeongrade.ids.AvailabilityZone;
 
 /**
- * What operators have published: the configuration with the highest version, and the zones that are out.
+ * The published state: the configuration with the highest version, and the availability zones that are out of service.
  *
  * <p>Invariant: the version never decreases, and the document of a version never changes. Immutable; safe for use from
  * any thread.
@@ -43,7 +43,7 @@
         return zonesOut;
     }
 
-    /** Returns what publishing the document under the version would mean. */
+    /** Returns the outcome that publishing the document under the version would have, without publishing it. */
     public PublishOutcome outcomeOf(long newVersion, byte[] newDocument) {
         if (newVersion > version) {
             return PublishOutcome.IN_FORCE;
--- a/src/main/java/org/wigeongrade/decisions/published/PublishedStateMachine.java
+++ b/src/main/java/org/wigeongrade/decisions/published/PublishedStateMachine.java
@@ -11,11 +11,11 @@
 /**
  * Applies published commands in the order of the replicated log.
  *
- * <p>Invariant: the state depends on nothing but the commands so far. Commands are applied by one thread at a time; {@link
- * #state} may be read from any thread.
+ * <p>Invariant: the state depends only on the commands applied so far. Commands are applied by one thread at a time;
+ * {@link #state} may be read from any thread.
  */
 public final class PublishedStateMachine {
-    private record Stored(long version, Bytes document, List<AvailabilityZone> zonesOut) {}
+    private record SnapshotContent(long version, Bytes document, List<AvailabilityZone> zonesOut) {}
 
     private volatile PublishedState state = PublishedState.EMPTY;
 
@@ -39,31 +39,31 @@
         return encode(PublishOutcome.IN_FORCE);
     }
 
-    /** Reads the result of {@link #apply}. */
+    /** Decodes the result of {@link #apply}. */
     public static PublishOutcome outcome(byte[] result) {
         return PublishOutcome.valueOf(new String(result, StandardCharsets.US_ASCII));
     }
 
-    /** Returns the whole state, encoded. */
+    /** Returns the encoded state. */
     public byte[] snapshot() {
         final PublishedState taken = state;
         try {
-            return PublishedCommand.Codec.MAPPER.writeValueAsBytes(new Stored(
+            return PublishedCommand.Codec.MAPPER.writeValueAsBytes(new SnapshotContent(
                     taken.version(),
                     taken.document().map(Bytes::wrap).orElse(Bytes.EMPTY),
                     ImmutableList.copyOf(taken.zonesOut())));
         } catch (IOException e) {
-            throw new UncheckedIOException("state cannot be encoded", e);
+            throw new UncheckedIOException("published state cannot be encoded as JSON", e);
         }
     }
 
-    /** Replaces the whole state by an encoded one. */
+    /** Replaces the state by the one encoded in the snapshot. */
     public void restore(byte[] snapshot) {
         try {
-            final Stored stored = PublishedCommand.Codec.MAPPER.readValue(snapshot, Stored.class);
+            final SnapshotContent stored = PublishedCommand.Codec.MAPPER.readValue(snapshot, SnapshotContent.class);
             state = PublishedState.of(stored.version(), stored.document().array(), stored.zonesOut());
         } catch (IOException e) {
-            throw new UncheckedIOException("state of a snapshot cannot be read", e);
+            throw new UncheckedIOException("published state in the snapshot cannot be decoded", e);
         }
     }
 
--- a/src/main/java/org/wigeongrade/decisions/published/Route.java
+++ b/src/main/java/org/wigeongrade/decisions/published/Route.java
@@ -6,17 +6,17 @@
 import org.wigeongrade.ids.ServiceName;
 
 /**
- * Where the requests of one host and path prefix go, and what may be done with them.
+ * Targets and request handling for one host and path prefix.
  *
  * <p>Invariant: the prefix begins and ends with a slash. Immutable; safe for use from any thread.
  *
- * @param timeoutMs longest time that a caller is kept waiting for the whole answer
- * @param targetLatencyMs time to the answer, or to the first event of a stream, that counts as on time
- * @param targetPauseMs longest pause between two events that counts as on time; 0 where nothing is streamed
- * @param priority rank of the route's requests, 0 first
- * @param maxAttempts endpoints that one request may be sent to
+ * @param timeoutMs maximum time until the caller has the complete answer
+ * @param targetLatencyMs maximum time to the answer, or to the first event of a stream, that counts as on time
+ * @param targetPauseMs maximum pause between two events that counts as on time; 0 where nothing is streamed
+ * @param priority priority of the route's requests; 0 is the highest
+ * @param maxAttempts maximum number of endpoints that one request is sent to
  * @param anonymous whether a request needs no key
- * @param resumable whether a stream may go on at another endpoint
+ * @param resumable whether a stream may be resumed on another endpoint
  */
 public record Route(
         RouteName name,
@@ -35,17 +35,20 @@
         targets = ImmutableList.copyOf(targets);
     }
 
-    /** Returns whether a request that may have run may be sent once more. */
+    /** Returns whether a request that may have run may be retried. */
     public boolean mayRepeat() {
-        return kind.mayRepeat(resumable);
+        return kind.mayRetry(resumable);
     }
 
-    /** Returns the service at a point of the weights, {@code point} from 0 to less than 1. */
+    /**
+     * Returns the service for a random {@code point}, at least 0 and less than 1; each service covers a range in
+     * proportion to its weight.
+     */
     public ServiceName targetAt(double point) {
-        double rest = point * totalWeight();
+        double remaining = point * totalWeight();
         for (final WeightedTarget target : targets) {
-            rest -= target.weight();
-            if (rest < 0) {
+            remaining -= target.weight();
+            if (remaining < 0) {
                 return target.service();
             }
         }
--- a/src/main/java/org/wigeongrade/decisions/published/RouteKind.java
+++ b/src/main/java/org/wigeongrade/decisions/published/RouteKind.java
@@ -1,25 +1,25 @@
 package org.wigeongrade.decisions.published;
 
-/** What may be done with a request of a route. Immutable; safe for use from any thread. */
+/** Whether and how the requests of a route may be repeated. Immutable; safe for use from any thread. */
 public enum RouteKind {
-    /** May run any number of times. */
+    /** A request may run any number of times. */
     IDEMPOTENT {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean mayRetry(boolean resumable) {
             return true;
         }
     },
-    /** Runs at most once. */
+    /** A request runs at most once. */
     NON_IDEMPOTENT {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean mayRetry(boolean resumable) {
             return false;
         }
     },
-    /** Answered by a series of events; runs at most once unless the route's streams may be resumed. */
+    /** A request is answered by a stream of events; it runs at most once unless the route's streams are resumable. */
     STREAMING {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean mayRetry(boolean resumable) {
             return resumable;
         }
 
@@ -29,10 +29,10 @@
         }
     };
 
-    /** Returns whether a request that may have run may be sent once more. */
-    public abstract boolean mayRepeat(boolean resumable);
+    /** Returns whether a request that may have run may be retried. */
+    public abstract boolean mayRetry(boolean resumable);
 
-    /** Returns whether the answer is a series of events. */
+    /** Returns whether the answer is a stream of events. */
     public boolean streams() {
         return false;
     }
--- a/src/main/java/org/wigeongrade/decisions/published/RouteWithoutWeight.java
+++ b/src/main/java/org/wigeongrade/decisions/published/RouteWeightRule.java
@@ -2,17 +2,17 @@
 
 import java.util.stream.Stream;
 
-/** Finds routes whose weights are negative or add up to nothing. Stateless. */
-final class RouteWithoutWeight implements PublishedRule {
+/** Finds routes with a negative weight or weights that add up to 0. Stateless. */
+final class RouteWeightRule implements PublishedRule {
     @Override
     public String code() {
         return "route_without_weight";
     }
 
     @Override
-    public Stream<String> faults(PublishedConfiguration configuration) {
+    public Stream<String> findFaults(PublishedConfiguration configuration) {
         return configuration.routes().stream()
-                .filter(RouteWithoutWeight::isFaulty)
+                .filter(RouteWeightRule::isFaulty)
                 .map(route -> "the weights of route " + route.name()
                         + " must not be negative and must add up to more than 0");
     }
--- a/src/main/java/org/wigeongrade/decisions/published/KeyOfTwoOrganisations.java
+++ b/src/main/java/org/wigeongrade/decisions/published/SharedKeyRule.java
@@ -5,15 +5,15 @@
 import java.util.stream.Stream;
 import org.wigeongrade.ids.OrganisationName;
 
-/** Finds keys that two organisations hold; the key itself is not shown. Stateless. */
-final class KeyOfTwoOrganisations implements PublishedRule {
+/** Finds keys that two organisations share. Messages do not contain the key. Stateless. */
+final class SharedKeyRule implements PublishedRule {
     @Override
     public String code() {
         return "key_of_two_organisations";
     }
 
     @Override
-    public Stream<String> faults(PublishedConfiguration configuration) {
+    public Stream<String> findFaults(PublishedConfiguration configuration) {
         final Map<String, OrganisationName> holders = new HashMap<>();
         final Stream.Builder<String> faults = Stream.builder();
         for (final PublishedOrganisation organisation : configuration.organisations()) {
@@ -21,7 +21,7 @@
                 final OrganisationName holder = holders.putIfAbsent(key, organisation.name());
                 if (holder != null && !holder.equals(organisation.name())) {
                     faults.add("organisations " + holder + " and " + organisation.name()
-                            + " share a key; give each its own");
+                            + " use the same key; give each its own");
                 }
             }
         }
--- a/src/main/java/org/wigeongrade/decisions/published/RouteToUnknownService.java
+++ b/src/main/java/org/wigeongrade/decisions/published/UnknownServiceRule.java
@@ -2,20 +2,20 @@
 
 import java.util.stream.Stream;
 
-/** Finds routes that send requests to a service that the configuration does not hold. Stateless. */
-final class RouteToUnknownService implements PublishedRule {
+/** Finds routes to a service that is not in the configuration. Stateless. */
+final class UnknownServiceRule implements PublishedRule {
     @Override
     public String code() {
         return "route_to_unknown_service";
     }
 
     @Override
-    public Stream<String> faults(PublishedConfiguration configuration) {
+    public Stream<String> findFaults(PublishedConfiguration configuration) {
         return configuration.routes().stream()
                 .flatMap(route -> route.targets().stream()
                         .filter(target ->
                                 configuration.service(target.service()).isEmpty())
-                        .map(target -> "route " + route.name() + " names service " + target.service()
-                                + ", which is not in the configuration; add it or name another"));
+                        .map(target -> "route " + route.name() + " sends requests to service " + target.service()
+                                + ", which is not in the configuration; add the service or change the route"));
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/published/WeightedTarget.java
+++ b/src/main/java/org/wigeongrade/decisions/published/WeightedTarget.java
@@ -2,5 +2,8 @@
 
 import org.wigeongrade.ids.ServiceName;
 
-/** A service that takes part of a route's requests, by weight. Immutable; safe for use from any thread. */
+/**
+ * A service that receives a share of a route's requests in proportion to its weight. Immutable; safe for use from any
+ * thread.
+ */
 public record WeightedTarget(ServiceName service, double weight) {}
--- a/src/test/java/org/wigeongrade/decisions/balancing/BalancerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/balancing/BalancerTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void requestsOfOtherEntryNodesCount() {
+    void countsRequestsOfOtherEntryNodes() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
         groups.get(0).elsewhere(10, 0);
         send(groups.get(1), 2);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void groupThatStandsStillGetsNothingWhileAnotherServes() {
+    void stalledGroupGetsNoRequestsWhileAnotherServes() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
         send(groups.get(0), 1);
         send(groups.get(1), 12);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void groupThatTheLeaderDoubtsIsUsedOnlyIfThereIsNoOther() {
+    void suspectGroupIsUsedOnlyIfThereIsNoOther() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
         groups.get(0).suspected(true);
         send(groups.get(1), 12);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void slowGroupGetsLess() {
+    void slowGroupIsAvoided() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
         for (int i = 0; i < 40; i++) {
             groups.get(0).observed(500, 100);
@@ -130,18 +130,18 @@
 
     @ParameterizedTest
     @CsvSource({"17, true", "19, true", "20, false"})
-    void burstIsRefusedOnceEveryGroupIsFull(int running, boolean taken) {
+    void burstIsRefusedOnceEveryGroupIsFull(int running, boolean accepted) {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", THERE));
         groups.forEach(group -> send(group, running));
         final Placement placement = place(groups, Set.of(), 0);
 
-        assertThat(placement.endpoint().isPresent()).isEqualTo(taken);
-        assertThat(placement.refusal()).isEqualTo(taken ? Optional.empty() : Optional.of(Placement.Refusal.ALL_BUSY));
-        assertThat(placement.retryAfterMs() > 0).isEqualTo(!taken);
+        assertThat(placement.endpoint().isPresent()).isEqualTo(accepted);
+        assertThat(placement.refusal()).isEqualTo(accepted ? Optional.empty() : Optional.of(Placement.Refusal.ALL_BUSY));
+        assertThat(placement.retryAfterMs() > 0).isEqualTo(!accepted);
     }
 
     @Test
-    void burstOfLongPromptsIsRefusedOnceItCannotBeReadInTime() {
+    void longPromptsAreRefusedOncePrefillWouldBeLate() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
         groups.forEach(group -> {
             send(group, 4);
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void streamThatHasBegunIsPlacedAlsoIfItComesLate() {
+    void startedStreamIsPlacedEvenIfItWouldBeLate() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
         groups.forEach(group -> group.reads(40_000));
 
@@ -164,12 +164,12 @@
 
     @Test
     void groupAcrossFabricDomainsIsUsedOnlyUnderLoad() {
-        final EndpointLoad far = far("far");
-        final EndpointLoad near = group("near", HERE);
+        final EndpointLoad crossDomain = crossDomainGroup("far");
+        final EndpointLoad singleDomain = group("near", HERE);
 
-        assertThat(place(List.of(far, near), Set.of(), 0).endpoint()).hasValue(near);
-        send(near, 20);
-        assertThat(place(List.of(far, near), Set.of(), 0).endpoint()).hasValue(far);
+        assertThat(place(List.of(crossDomain, singleDomain), Set.of(), 0).endpoint()).hasValue(singleDomain);
+        send(singleDomain, 20);
+        assertThat(place(List.of(crossDomain, singleDomain), Set.of(), 0).endpoint()).hasValue(crossDomain);
     }
 
     @ParameterizedTest
@@ -190,25 +190,25 @@
     }
 
     @Test
-    void triedGroupIsNotTriedAgain() {
+    void triedGroupIsNotRetried() {
         final List<EndpointLoad> groups = List.of(group("a", HERE));
 
         assertThat(place(groups, Set.of(VmName.of("a")), 0).refusal()).hasValue(Placement.Refusal.NONE_SERVES);
     }
 
     @Test
-    void coldGroupGetsNoMoreThanThisNodesPart() {
+    void coldGroupGetsNoMoreThanShareOfNode() {
         final List<EndpointLoad> groups = List.of(group("a", HERE));
         groups.get(0).coldUntil(TimeUnit.SECONDS.toNanos(5));
-        int taken = 0;
+        int accepted = 0;
         for (int i = 0; i < 20; i++) {
             final Placement placement =
                     balancer.place(request(Set.of()), groups, engine, new BalancingLimits(4.5, 7), 1);
-            taken += placement.endpoint().isPresent() ? 1 : 0;
+            accepted += placement.endpoint().isPresent() ? 1 : 0;
             placement.endpoint().ifPresent(endpoint -> send(endpoint, 1));
         }
 
-        assertThat(taken).isEqualTo(4);
+        assertThat(accepted).isEqualTo(4);
     }
 
     private Placement place(List<EndpointLoad> groups, Set<VmName> tried, long nowNanos) {
@@ -225,8 +225,8 @@
         }
     }
 
-    private static EndpointLoad far(String name) {
-        return endpoint(name, HERE, PROFILE.farFactor());
+    private static EndpointLoad crossDomainGroup(String name) {
+        return endpoint(name, HERE, PROFILE.crossDomainFactor());
     }
 
     private static EndpointLoad group(String name, AvailabilityZone zone) {
--- a/src/test/java/org/wigeongrade/decisions/discovery/VmRegistryTest.java
+++ b/src/test/java/org/wigeongrade/decisions/discovery/VmRegistryTest.java
@@ -17,22 +17,22 @@
 
     @ParameterizedTest
     @CsvSource({
-        // incarnation and sequence of the later heartbeat, whether it is taken up after incarnation 10, sequence 5
+        // incarnation and sequence of the later heartbeat, whether it is recorded after incarnation 10, sequence 5
         "10, 6, true",
         "10, 5, false",
         "10, 4, false",
         "11, 1, true",
         "9, 99, false",
     })
-    void takesOnlyNewerHeartbeatsOfOneVm(long incarnation, long sequence, boolean taken) {
+    void takesOnlyNewerHeartbeatsOfOneVm(long incarnation, long sequence, boolean accepted) {
         registry.hear(heartbeat("a", 10, 5, "10.0.0.1:80"), 0);
 
         assertThat(registry.hear(heartbeat("a", incarnation, sequence, "10.0.0.1:80"), 1))
-                .isEqualTo(taken);
+                .isEqualTo(accepted);
     }
 
     @Test
-    void youngerVmAtAnAddressEndsTheOlderOne() {
+    void newerVmAtAddressEndsOlderOne() {
         registry.hear(heartbeat("old", 10, 1, "10.0.0.1:80"), 0);
         registry.hear(heartbeat("new", 20, 1, "10.0.0.1:80"), 1);
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void lateHeartbeatBringsNoDepartedVmBack() {
+    void lateHeartbeatDoesNotReviveDepartedVm() {
         registry.hear(heartbeat("a", 10, 5, "10.0.0.1:80"), 0);
         registry.depart(VmName.of("a"));
 
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void forgetsVmsThatWereSilentForLong() {
+    void removesVmsWithoutRecentHeartbeat() {
         registry.hear(heartbeat("a", 10, 5, "10.0.0.1:80"), 0);
 
         assertThat(registry.records(59_000_000_000L)).hasSize(1);
--- a/src/test/java/org/wigeongrade/decisions/grouping/GroupPlannerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/GroupPlannerTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Patterns of lost VMs against engine VMs in virtual time. */
+/** Tests the planner against simulated engine VMs in virtual time, with VMs and leaders lost in many patterns. */
 final class GroupPlannerTest {
     private static final long LOADED_MS = 60_000;
-    /** Callers of the users' deployments come this long after the VMs have started. */
-    private static final long CALLERS_COME_MS = 15_000;
+    /** Time after the start of the VMs at which callers start to send requests in the users' deployments. */
+    private static final long CALLERS_START_MS = 15_000;
 
     private final SimulatedFleet fleet = new SimulatedFleet(6, 8, 1);
 
@@ -27,8 +27,8 @@
     }
 
     @Test
-    void everyGroupServesBeforeSparesTakeTheRoomForLoads() {
-        fleet.run(CALLERS_COME_MS);
+    void groupsLoadWeightsBeforeSpares() {
+        fleet.run(CALLERS_START_MS);
 
         assertThat(fleet.serving(LARGE)).isEqualTo(6);
         assertThat(fleet.serving(SMALL)).isEqualTo(6);
@@ -54,9 +54,9 @@
     }
 
     @Test
-    void groupWithoutProgressIsDoubtedAtOnceAndRepairedWithinTwoSeconds() {
+    void stalledGroupIsSuspectAtOnceAndRepairedWithinTwoSeconds() {
         fleet.run(LOADED_MS);
-        fleet.callersKeepEveryGroupBusy();
+        fleet.keepEveryGroupBusy();
         fleet.run(2_000);
         final SimulatedVm head = fleet.anyHead();
         fleet.vms.stream()
@@ -65,7 +65,7 @@
                 .orElseThrow()
                 .ended = true;
         fleet.run(400);
-        assertThat(fleet.suspects()).containsExactly(head.life);
+        assertThat(fleet.suspects()).containsExactly(head.incarnation);
 
         fleet.run(1_600);
         assertThat(fleet.serving(LARGE) + fleet.serving(SMALL)).isEqualTo(12);
@@ -73,27 +73,27 @@
     }
 
     @Test
-    void headThatRefusesConnectionsIsDoubtedThoughItSentBytesJustBefore() {
+    void headThatRefusesConnectionsIsSuspectDespiteRecentBytes() {
         fleet.run(LOADED_MS);
-        fleet.callersKeepEveryGroupBusy();
+        fleet.keepEveryGroupBusy();
         fleet.run(2_000);
         final SimulatedVm head = fleet.anyHead();
         head.ended = true;
-        fleet.refusedBy(head);
+        fleet.refuseConnectionsAt(head);
         fleet.run(100);
 
-        assertThat(fleet.suspects()).containsExactly(head.life);
+        assertThat(fleet.suspects()).containsExactly(head.incarnation);
         fleet.run(500);
         assertThat(fleet.changes.stream()
                         .filter(change -> change.phase() == GroupPhase.CLOSING)
                         .flatMap(change -> change.members().stream()))
-                .contains(head.life);
+                .contains(head.incarnation);
     }
 
     @Test
-    void spareOfAnotherModelStandsInAfterAWarmupOnceItsOwnModelsSparesAreGone() {
+    void spareOfOtherModelReplacesMemberAfterWarmupWhenNoSpareOfModelIsLeft() {
         fleet.run(LOADED_MS);
-        fleet.callersCome();
+        fleet.startCallers();
         fleet.run(LOADED_MS);
         final int before = fleet.loads;
         fleet.loseMembers(LARGE, 2);
@@ -105,9 +105,9 @@
     }
 
     @Test
-    void zoneThatComesBackFormsItsGroupsInsideTheirDomains() {
+    void restartedZoneFormsGroupsWithinDomains() {
         fleet.run(LOADED_MS);
-        fleet.callersCome();
+        fleet.startCallers();
         fleet.run(20_000);
         fleet.restartDomains(Set.of("domain-0", "domain-1"), 2_000, 300);
         fleet.run(7_000);
@@ -119,14 +119,14 @@
     }
 
     @Test
-    void groupsWhoseHeartbeatsFindNoLeaderForAWhileServeOn() {
+    void groupsKeepServingWhileNoLeaderReceivesHeartbeats() {
         fleet.run(LOADED_MS);
         fleet.changes.clear();
-        fleet.vms.forEach(vm -> vm.mute = true);
+        fleet.vms.forEach(vm -> vm.losesHeartbeats = true);
         fleet.run(4_000);
         fleet.newLeader();
         fleet.run(1_000);
-        fleet.vms.forEach(vm -> vm.mute = false);
+        fleet.vms.forEach(vm -> vm.losesHeartbeats = false);
         fleet.run(3_000);
 
         assertThat(fleet.changes.stream().map(GroupChange::phase).toList()).doesNotContain(GroupPhase.CLOSING);
@@ -136,9 +136,9 @@
     @Test
     void burstOfOneModelIsServedBySparesThatHoldItsWeights() {
         fleet.run(LOADED_MS);
-        fleet.callersCome();
+        fleet.startCallers();
         fleet.run(2 * LOADED_MS);
-        fleet.crowd(SMALL);
+        fleet.saturate(SMALL);
         fleet.run(6_000);
 
         assertThat(fleet.serving(SMALL)).isAtLeast(8);
@@ -147,9 +147,9 @@
     }
 
     @Test
-    void survivorsOfDarkHeadWaitUntilItIsBroken() {
+    void membersOfPartitionedHeadWaitUntilItIsBroken() {
         fleet.run(LOADED_MS);
-        fleet.anyHead().dark = true;
+        fleet.anyHead().partitioned = true;
         fleet.run(12_000);
 
         assertThat(fleet.violations).isEmpty();
@@ -159,7 +159,7 @@
     @Test
     void leavingMemberEndsItsGroupAndIsReplaced() {
         fleet.run(LOADED_MS);
-        fleet.anyInGroup().draining = true;
+        fleet.anyMember().draining = true;
         fleet.run(10_000);
 
         assertThat(fleet.violations).isEmpty();
@@ -168,9 +168,9 @@
     }
 
     @Test
-    void domainThatLostTwoMembersServesWithinAnotherDomainsReachAndComesBack() {
+    void domainThatLostTwoMembersFormsCrossDomainGroupAndRecovers() {
         fleet.run(LOADED_MS);
-        fleet.callersCome();
+        fleet.startCallers();
         fleet.loseMembers(LARGE, 2);
         fleet.run(8_000);
         assertThat(fleet.serving(LARGE)).isAtLeast(5);
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void newLeaderTakesOverWholeGroupsAsTheyAre() {
+    void newLeaderKeepsCompleteGroups() {
         fleet.run(LOADED_MS);
         final int before = fleet.loads;
         fleet.newLeader();
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void leaderThatKnowsNothingTakesOverEachGroupAsItsMembersAreHeard() {
+    void leaderWithoutStateAdoptsGroupsFromHeartbeats() {
         fleet.run(LOADED_MS);
         final int before = fleet.loads;
         fleet.restartControl();
@@ -212,10 +212,10 @@
     void leaderThatIsBehindTakesNoVmOfAGroupItHasNotHeardOf(long lagMs) {
         fleet.run(LOADED_MS);
         for (int round = 0; round < 12; round++) {
-            fleet.anyInGroup().ended = true;
+            fleet.anyMember().ended = true;
             fleet.add("vm-new-" + round, "domain-" + round % 6);
             fleet.run(2_500 + fleet.random.nextInt(3_000));
-            fleet.newLeaderBehind(lagMs);
+            fleet.newLeaderWithStaleHeartbeats(lagMs);
         }
         fleet.run(10_000);
 
@@ -223,14 +223,14 @@
     }
 
     @Test
-    void spareThatCouldNotBeReachedForAWhileStaysWithItsModel() {
+    void unreachableSpareKeepsItsModel() {
         fleet.run(LOADED_MS);
         final int before = fleet.loads;
         fleet.vms.stream()
                 .filter(vm -> vm.group != null && vm.members.size() == 1)
-                .forEach(vm -> vm.dark = true);
+                .forEach(vm -> vm.partitioned = true);
         fleet.run(6_000);
-        fleet.vms.forEach(vm -> vm.dark = false);
+        fleet.vms.forEach(vm -> vm.partitioned = false);
         fleet.run(6_000);
 
         assertThat(fleet.loads).isEqualTo(before);
@@ -239,7 +239,7 @@
     @Test
     void emptyVmBecomesSpareThatNeedsNoLoadLater() {
         fleet.run(LOADED_MS);
-        fleet.anyInGroup().ended = true;
+        fleet.anyMember().ended = true;
         fleet.add("vm-new", "domain-0");
         fleet.run(40_000);
 
@@ -254,22 +254,22 @@
                 29, 30
             })
     void noGroupIsPartialAndNoVmInTwoWhateverHappens(long seed) {
-        final SimulatedFleet shaken = new SimulatedFleet(4, 8, seed);
-        shaken.run(LOADED_MS);
+        final SimulatedFleet faultyFleet = new SimulatedFleet(4, 8, seed);
+        faultyFleet.run(LOADED_MS);
         for (int round = 0; round < 25; round++) {
-            shaken.lateOrders = shaken.random.nextInt(3) == 0 ? 0.35 : 0;
-            switch (shaken.random.nextInt(8)) {
-                case 0 -> shaken.anyInGroup().ended = true;
-                case 1 -> shaken.anyInGroup().dark = true;
-                case 2 -> shaken.newLeader();
-                case 3 -> shaken.vms.forEach(vm -> vm.dark = false);
-                case 4 -> shaken.anyInGroup().draining = true;
-                case 5 -> shaken.restartControl();
-                case 6 -> shaken.newLeaderBehind(shaken.random.nextInt(1_200));
-                default -> shaken.add("vm-added-" + round, "domain-" + shaken.random.nextInt(4));
+            faultyFleet.lateOrderRatio = faultyFleet.random.nextInt(3) == 0 ? 0.35 : 0;
+            switch (faultyFleet.random.nextInt(8)) {
+                case 0 -> faultyFleet.anyMember().ended = true;
+                case 1 -> faultyFleet.anyMember().partitioned = true;
+                case 2 -> faultyFleet.newLeader();
+                case 3 -> faultyFleet.vms.forEach(vm -> vm.partitioned = false);
+                case 4 -> faultyFleet.anyMember().draining = true;
+                case 5 -> faultyFleet.restartControl();
+                case 6 -> faultyFleet.newLeaderWithStaleHeartbeats(faultyFleet.random.nextInt(1_200));
+                default -> faultyFleet.add("vm-added-" + round, "domain-" + faultyFleet.random.nextInt(4));
             }
-            shaken.run(shaken.random.nextInt(6_000));
+            faultyFleet.run(faultyFleet.random.nextInt(6_000));
         }
-        assertThat(shaken.violations).isEmpty();
+        assertThat(faultyFleet.violations).isEmpty();
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/grouping/InheritedGroupsTest.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/InheritedGroupsTest.java
@@ -21,9 +21,9 @@
 
 final class InheritedGroupsTest {
     private static final ModelVersionName MODEL = ModelVersionName.of("large");
-    private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long MAX_SILENCE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-    /** A group that is reported by nobody but a lost VM does not keep the leader from forming another one. */
+    /** A group that only a lost VM has reported must not keep the leader from forming another one. */
     @ParameterizedTest
     @CsvSource({"0, 1", "2900, 1", "3100, 0", "20000, 0"})
     void onlyVmsThatAreHeardOfKeepAGroupPending(long silentMs, int pending) {
@@ -31,7 +31,7 @@
         final VmRecord lost =
                 new VmRecord(heartbeat(), nowNanos - TimeUnit.MILLISECONDS.toNanos(silentMs), 0, false, false);
 
-        assertThat(new InheritedGroups().pending(MODEL, List.of(lost), PATIENCE_NANOS, nowNanos))
+        assertThat(new InheritedGroups().countPending(MODEL, List.of(lost), MAX_SILENCE_NANOS, nowNanos))
                 .isEqualTo(pending);
     }
 
--- a/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
@@ -24,10 +24,10 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * Engine VMs and the leaders that form groups of them, in virtual time.
+ * Simulates engine VMs and the leaders that form groups of them, in virtual time.
  *
- * <p>Checks the two promises that hold always: no group begins to serve before each member was ready in it, and no VM
- * joins another group while the head of its group may still serve. Not thread safe.
+ * <p>Records violations of two invariants: no group starts to serve before every member has been ready in it, and no VM
+ * joins another group while the head of its current group may still serve. Not thread safe.
  */
 final class SimulatedFleet {
     static final long HEARTBEAT_MS = 1_200;
@@ -38,47 +38,47 @@
             18, 5, ImmutableList.of(LARGE, SMALL), 6.07, 0.35, 0.007, 46_000, 0.7, 2_048, 4, 6, 300, 2.5);
     private static final long ORDER_TIMEOUT_MS = 450;
     private static final long PROBE_TIMEOUT_MS = 250;
-    /** One request at an endpoint that belongs to no group here. */
-    private static final ImmutableMap<VmName, EndpointEvidence> CALLERS =
+    /** One request in flight at an endpoint that belongs to no group; it shows the leader that callers are active. */
+    private static final ImmutableMap<VmName, EndpointEvidence> ONE_REQUEST =
             ImmutableMap.of(VmName.of("plain"), new EndpointEvidence(1, 0, 0, false));
 
-    private record Heard(long atMs, VmHeartbeat heartbeat) {}
+    private record ReceivedHeartbeat(long atMs, VmHeartbeat heartbeat) {}
 
     private record Event(long atMs, long sequence, Runnable action) {}
 
     final List<SimulatedVm> vms = new ArrayList<>();
     final List<String> violations = new ArrayList<>();
     final List<GroupChange> changes = new ArrayList<>();
-    private final List<Heard> heard = new ArrayList<>();
+    private final List<ReceivedHeartbeat> receivedHeartbeats = new ArrayList<>();
     final Random random;
-    /** Part of the orders that get no answer and are carried out 2 to 12 s later. */
-    double lateOrders;
+    /** Ratio of orders that get no answer and are carried out 2 to 12 s later. */
+    double lateOrderRatio;
 
-    /** Joins that had to load their weights. */
+    /** Number of joins that had to load weights from the store. */
     int loads;
 
-    /** Loads of second models onto hosts, while the VM stays as it is. */
-    int secondLoads;
+    /** Number of loads of second models onto hosts. */
+    int stagingLoads;
 
     private final Map<GroupName, Set<VmName>> everReady = new HashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atMs).thenComparingLong(Event::sequence));
     private VmRegistry registry = new VmRegistry();
     private GroupPlanner planner;
-    private boolean callers;
-    /** Each open group has a request, so that entry nodes see whether it makes progress. */
+    private boolean callersActive;
+    /** Whether each open group has a request, so that entry nodes see whether it makes progress. */
     private boolean everyGroupBusy;
 
     /** The model whose groups are full of requests, if any. */
-    private Optional<GroupedModel> crowded = Optional.empty();
+    private Optional<GroupedModel> saturatedModel = Optional.empty();
 
-    /** When callers found no listener at a VM. */
-    private final Map<VmName, Long> refusedMs = new HashMap<>();
+    /** Time at which a VM refused callers' connections. */
+    private final Map<VmName, Long> refusedSinceMs = new HashMap<>();
 
     private long term;
     private long nowMs;
-    /** A leader plans nothing before it had the time to hear of each VM. */
-    private long settledMs = 2 * HEARTBEAT_MS;
+    /** Time after which the leader plans; it first waits for a heartbeat of each VM. */
+    private long planAfterMs = 2 * HEARTBEAT_MS;
 
     private long sequence;
 
@@ -98,24 +98,24 @@
         return vm;
     }
 
-    /** Another control VM leads; it knows what VMs reported, not what the earlier leader planned. */
+    /** Replaces the leader by one that knows all heartbeats but not the groups that the earlier leader planned. */
     void newLeader() {
         term++;
         planner = new GroupPlanner(
                 term, new GroupTimings(nanos(HEARTBEAT_MS), nanos(SimulatedVm.STALL_MS)), changes::add, nanos(nowMs));
     }
 
-    /** Every control VM restarts: the leader has heard of nothing and hears of each VM with its next heartbeat. */
+    /** Restarts all control VMs: the new leader knows no VM until its next heartbeat. */
     void restartControl() {
         registry = new VmRegistry();
         newLeader();
-        settledMs = nowMs + 2 * HEARTBEAT_MS;
+        planAfterMs = nowMs + 2 * HEARTBEAT_MS;
     }
 
-    /** Another control VM leads that heard of the latest heartbeats only as long ago as {@code lagMs}. */
-    void newLeaderBehind(long lagMs) {
+    /** Replaces the leader by one that has not received the heartbeats of the last {@code lagMs}. */
+    void newLeaderWithStaleHeartbeats(long lagMs) {
         registry = new VmRegistry();
-        heard.stream()
+        receivedHeartbeats.stream()
                 .filter(heartbeat -> heartbeat.atMs() <= nowMs - lagMs)
                 .forEach(heartbeat -> registry.hear(heartbeat.heartbeat(), nanos(heartbeat.atMs())));
         newLeader();
@@ -129,10 +129,10 @@
                 events.poll().action().run();
             }
             vms.forEach(vm -> vm.tick().ifPresent(heartbeat -> {
-                heard.add(new Heard(nowMs, heartbeat));
+                receivedHeartbeats.add(new ReceivedHeartbeat(nowMs, heartbeat));
                 registry.hear(heartbeat, nanos(nowMs));
             }));
-            if (nowMs > settledMs) {
+            if (nowMs > planAfterMs) {
                 plan();
             }
         }
@@ -140,45 +140,45 @@
 
     private void plan() {
         final GroupPlanner leader = planner;
-        leader.plan(ENGINE, registry.records(nanos(nowMs)), evidence(), nanos(nowMs))
+        leader.plan(ENGINE, registry.records(nanos(nowMs)), observations(), nanos(nowMs))
                 .forEach(order -> deliver(leader, order));
     }
 
-    private Map<VmName, EndpointEvidence> evidence() {
+    private Map<VmName, EndpointEvidence> observations() {
         if (!everyGroupBusy) {
-            return callers ? CALLERS : ImmutableMap.of();
+            return callersActive ? ONE_REQUEST : ImmutableMap.of();
         }
         return vms.stream()
-                .filter(vm -> vm.mayServe() || refusedMs.containsKey(vm.life.vm()))
-                .collect(ImmutableMap.toImmutableMap(head -> head.life.vm(), head -> {
-                    final boolean refuses = refusedMs.containsKey(head.life.vm());
-                    final long progressedMs = refuses ? refusedMs.get(head.life.vm()) : nowMs - head.stalledMs();
+                .filter(vm -> vm.mayServe() || refusedSinceMs.containsKey(vm.incarnation.vm()))
+                .collect(ImmutableMap.toImmutableMap(head -> head.incarnation.vm(), head -> {
+                    final boolean refuses = refusedSinceMs.containsKey(head.incarnation.vm());
+                    final long progressedMs = refuses ? refusedSinceMs.get(head.incarnation.vm()) : nowMs - head.stalledMs();
                     return new EndpointEvidence(requestsAt(head), nowMs - progressedMs, nanos(progressedMs), refuses);
                 }));
     }
 
     private int requestsAt(SimulatedVm head) {
-        return crowded.filter(model -> model.name().equals(head.lastModel))
+        return saturatedModel.filter(model -> model.name().equals(head.lastModel))
                 .map(model -> ENGINE.slots())
                 .orElse(1);
     }
 
     private void deliver(GroupPlanner leader, GroupOrder order) {
         final SimulatedVm vm = vms.stream()
-                .filter(each -> each.life.equals(order.vm()))
+                .filter(each -> each.incarnation.equals(order.vm()))
                 .findFirst()
                 .orElseThrow();
-        final boolean late = random.nextDouble() < lateOrders;
+        final boolean late = random.nextDouble() < lateOrderRatio;
         if (late) {
-            at(2_000 + random.nextInt(10_000), () -> take(vm, order));
+            schedule(2_000 + random.nextInt(10_000), () -> executeIfReachable(vm, order));
         }
-        if (late || vm.dark || vm.ended) {
-            at(timeoutMs(order), () -> leader.answered(order, OrderAnswer.NONE, nanos(nowMs)));
+        if (late || vm.partitioned || vm.ended) {
+            schedule(timeoutMs(order), () -> leader.answered(order, OrderAnswer.NONE, nanos(nowMs)));
             return;
         }
-        at(5, () -> {
-            final OrderAnswer answer = vm.ended ? OrderAnswer.NONE : vm.take(order);
-            at(5, () -> leader.answered(order, answer, nanos(nowMs)));
+        schedule(5, () -> {
+            final OrderAnswer answer = vm.ended ? OrderAnswer.NONE : vm.execute(order);
+            schedule(5, () -> leader.answered(order, answer, nanos(nowMs)));
         });
     }
 
@@ -186,50 +186,50 @@
         return order.kind() == GroupOrderKind.PROBE ? PROBE_TIMEOUT_MS : ORDER_TIMEOUT_MS;
     }
 
-    private static void take(SimulatedVm vm, GroupOrder order) {
-        if (!vm.ended && !vm.dark) {
-            vm.take(order);
+    private static void executeIfReachable(SimulatedVm vm, GroupOrder order) {
+        if (!vm.ended && !vm.partitioned) {
+            vm.execute(order);
         }
     }
 
-    /** Callers send requests from now on, so that loads take their time. */
-    void callersCome() {
-        callers = true;
+    /** Lets callers send requests from now on, so that loads take their full time. */
+    void startCallers() {
+        callersActive = true;
     }
 
-    /** Every open group has a request from now on, whose progress the leader is told of. */
-    void callersKeepEveryGroupBusy() {
-        callers = true;
+    /** Keeps a request at every open group from now on and reports its progress to the leader. */
+    void keepEveryGroupBusy() {
+        callersActive = true;
         everyGroupBusy = true;
     }
 
-    /** Callers fill the groups of one model. */
-    void crowd(GroupedModel model) {
-        callersKeepEveryGroupBusy();
-        crowded = Optional.of(model);
+    /** Fills all slots of one model's groups with requests. */
+    void saturate(GroupedModel model) {
+        keepEveryGroupBusy();
+        saturatedModel = Optional.of(model);
     }
 
-    /** Callers find no listener at a VM. */
-    void refusedBy(SimulatedVm vm) {
-        refusedMs.put(vm.life.vm(), nowMs);
+    /** Reports to the leader that a VM refuses callers' connections. */
+    void refuseConnectionsAt(SimulatedVm vm) {
+        refusedSinceMs.put(vm.incarnation.vm(), nowMs);
     }
 
-    /** Ends every VM of some domains; each starts again under another name, with the weights that its host keeps. */
+    /** Ends every VM of the given domains; each restarts under another name, with the weights that its host keeps. */
     void restartDomains(Set<String> domains, long downMs, long spreadMs) {
         final List<SimulatedVm> lost = vms.stream()
                 .filter(vm -> !vm.ended && domains.contains(vm.domain.value()))
                 .toList();
         for (final SimulatedVm vm : lost) {
             vm.ended = true;
-            at(
+            schedule(
                     downMs + random.nextInt((int) spreadMs),
-                    () -> add(vm.life.vm().value() + "-again", vm.domain.value())
+                    () -> add(vm.incarnation.vm().value() + "-again", vm.domain.value())
                             .staged
                             .addAll(vm.staged));
         }
     }
 
-    /** Ends members of one group, one after the other, so that the later one meets the repaired group. */
+    /** Ends members of one group, one after the other, with time to repair the group in between. */
     void loseMembers(GroupedModel model, int count) {
         final FabricDomain domain = vms.stream()
                 .filter(vm -> vm.mayServe() && model.name().equals(vm.lastModel))
@@ -266,7 +266,7 @@
         return (int) planner.serving(ENGINE).stream()
                 .filter(group -> group.model().equals(model.name()))
                 .filter(group -> vms.stream()
-                        .anyMatch(vm -> vm.life.equals(group.head())
+                        .anyMatch(vm -> vm.incarnation.equals(group.head())
                                 && vm.mayServe()
                                 && vm.members.stream().allMatch(member -> isIn(member, vm.group, vm.epoch))))
                 .count();
@@ -276,15 +276,15 @@
         return ENGINE.model(name).orElseThrow();
     }
 
-    /** Returns how long a load takes: a tenth before callers come, and never quite the same. */
+    /** Returns the time of a load: a tenth of the usual time before callers start, plus a random amount. */
     long loadMs(ModelVersionName name) {
-        final long usualMs = model(name).loadMs() / (callers ? 1 : 10);
+        final long usualMs = model(name).loadMs() / (callersActive ? 1 : 10);
         return usualMs + random.nextInt(100);
     }
 
-    SimulatedVm anyInGroup() {
+    SimulatedVm anyMember() {
         final List<SimulatedVm> joined = vms.stream()
-                .filter(vm -> !vm.ended && !vm.dark && vm.group != null)
+                .filter(vm -> !vm.ended && !vm.partitioned && vm.group != null)
                 .toList();
         return joined.get(random.nextInt(joined.size()));
     }
@@ -304,30 +304,30 @@
     boolean isIn(VmName member, GroupName group, long epoch) {
         return vms.stream()
                 .anyMatch(
-                        vm -> !vm.ended && vm.life.vm().equals(member) && group.equals(vm.group) && vm.epoch == epoch);
+                        vm -> !vm.ended && vm.incarnation.vm().equals(member) && group.equals(vm.group) && vm.epoch == epoch);
     }
 
-    void readyOnce(GroupName group, VmName vm) {
+    void recordReady(GroupName group, VmName vm) {
         everReady.computeIfAbsent(group, unused -> new HashSet<>()).add(vm);
     }
 
-    void checkOpens(SimulatedVm head) {
+    void checkCompleteBeforeOpening(SimulatedVm head) {
         final Set<VmName> ready = everReady.getOrDefault(head.group, Set.of());
         final boolean whole =
                 head.members.size() == model(head.lastModel).groupSize() && ready.containsAll(head.members);
         if (!whole) {
-            violations.add(nowMs + " ms: " + head.group + " opens, ready were " + ready + " of " + head.members);
+            violations.add(nowMs + " ms: " + head.group + " opens, but its ready members were " + ready + " of " + head.members);
         }
     }
 
-    void checkJoin(SimulatedVm vm, GroupOrder order) {
+    void checkNotServingBeforeJoin(SimulatedVm vm, GroupOrder order) {
         vms.stream()
                 .filter(head -> head.mayServe() && head.group.equals(vm.group) && head.epoch == vm.epoch)
-                .forEach(head -> violations.add(nowMs + " ms: " + vm.life + " joins " + order.group() + " while head "
-                        + head.life + " of " + head.group + " is " + head.state));
+                .forEach(head -> violations.add(nowMs + " ms: " + vm.incarnation + " joins " + order.group() + " while head "
+                        + head.incarnation + " of " + head.group + " is " + head.state));
     }
 
-    void at(long delayMs, Runnable action) {
+    void schedule(long delayMs, Runnable action) {
         events.add(new Event(nowMs + delayMs, sequence++, action));
     }
 
