--- a/src/test/java/org/wigeongrade/decisions/grouping/SimulatedVm.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/SimulatedVm.java
@@ -15,21 +15,21 @@
 import org.wigeongrade.ids.VmIncarnation;
 import org.wigeongrade.ids.VmName;
 
-/** An engine VM in virtual time that keeps the engines' contract for groups. Not thread safe. */
+/** Simulates an engine VM in virtual time that follows the engines' contract for groups. Not thread safe. */
 final class SimulatedVm {
     static final long STALL_MS = 4_000;
     static final long FORMATION_MS = 300;
     static final long REJOIN_MS = 200;
 
-    final VmIncarnation life;
+    final VmIncarnation incarnation;
     final FabricDomain domain;
-    /** Cut off from the leader; the process goes on. */
-    boolean dark;
-    /** The process has ended. */
+    /** Whether the VM is cut off from the leader; its process keeps running. */
+    boolean partitioned;
+    /** Whether the process has ended. */
     boolean ended;
 
-    /** Heartbeats get lost on their way; orders arrive. */
-    boolean mute;
+    /** Whether heartbeats are lost, while orders still arrive. */
+    boolean losesHeartbeats;
 
     boolean draining;
     GroupName group;
@@ -37,53 +37,53 @@
     List<VmName> members = List.of();
     GroupState state;
     ModelVersionName lastModel;
-    private ModelVersionName joining;
+    private ModelVersionName joiningModel;
     final Set<ModelVersionName> staged = new HashSet<>();
     private final SimulatedFleet fleet;
-    private long fencing;
+    private long highestFencingTerm;
     private long highestEpoch;
-    private long changesAtMs = Long.MAX_VALUE;
-    private long standsStillSinceMs = Long.MAX_VALUE;
+    private long nextStateChangeMs = Long.MAX_VALUE;
+    private long stalledSinceMs = Long.MAX_VALUE;
     private long nextHeartbeatMs;
     private long sequence;
 
-    SimulatedVm(SimulatedFleet fleet, String name, String domain, long bornMs) {
+    SimulatedVm(SimulatedFleet fleet, String name, String domain, long startedMs) {
         this.fleet = fleet;
-        this.life = new VmIncarnation(VmName.of(name), bornMs);
+        this.incarnation = new VmIncarnation(VmName.of(name), startedMs);
         this.domain = FabricDomain.of(domain);
-        this.nextHeartbeatMs = bornMs;
+        this.nextHeartbeatMs = startedMs;
     }
 
     boolean isHead() {
-        return group != null && members.get(0).equals(life.vm());
+        return group != null && members.get(0).equals(incarnation.vm());
     }
 
-    /** Returns whether requests run here or may stand still here. */
+    /** Returns whether requests may run here, or be stalled here. */
     boolean mayServe() {
         return !ended && isHead() && (state == GroupState.OPEN || state == GroupState.CLOSING);
     }
 
-    /** Returns for how long nothing has moved in the group that this VM heads. */
+    /** Returns for how long the group that this VM heads has been stalled. */
     long stalledMs() {
-        return Math.max(0, fleet.nowMs() - standsStillSinceMs);
+        return Math.max(0, fleet.nowMs() - stalledSinceMs);
     }
 
-    OrderAnswer take(GroupOrder order) {
+    OrderAnswer execute(GroupOrder order) {
         if (order.kind() == GroupOrderKind.PROBE) {
             return OrderAnswer.DONE;
         }
-        if (order.fencingTerm() < fencing) {
+        if (order.fencingTerm() < highestFencingTerm) {
             return OrderAnswer.REFUSED;
         }
-        fencing = order.fencingTerm();
+        highestFencingTerm = order.fencingTerm();
         if (order.kind() == GroupOrderKind.JOIN) {
             return join(order);
         }
         if (order.kind() == GroupOrderKind.STAGE) {
             return stage(order.model());
         }
-        final boolean here = order.group().equals(group) && order.epoch() == epoch;
-        if (!here) {
+        final boolean inThisGroup = order.group().equals(group) && order.epoch() == epoch;
+        if (!inThisGroup) {
             return OrderAnswer.REFUSED;
         }
         return switch (order.kind()) {
@@ -101,40 +101,43 @@
         if (order.epoch() < highestEpoch) {
             return OrderAnswer.REFUSED;
         }
-        fleet.checkJoin(this, order);
+        fleet.checkNotServingBeforeJoin(this, order);
         highestEpoch = order.epoch();
         group = order.group();
         epoch = order.epoch();
         members = order.members();
         state = GroupState.JOINING;
-        changesAtMs = fleet.nowMs() + joinMs(order.model());
-        joining = order.model();
-        beatSoon();
+        nextStateChangeMs = fleet.nowMs() + joinMs(order.model());
+        joiningModel = order.model();
+        sendHeartbeatSoon();
         return OrderAnswer.BEGUN;
     }
 
-    /** Loads a model onto the host, which keeps one; the weights in memory stay. */
+    /** Loads a model onto the host, where it replaces the previous one; the weights in memory stay. */
     private OrderAnswer stage(ModelVersionName model) {
         if (staged.contains(model)) {
             return OrderAnswer.DONE;
         }
-        fleet.secondLoads++;
-        fleet.at(fleet.loadMs(model), () -> {
+        fleet.stagingLoads++;
+        fleet.schedule(fleet.loadMs(model), () -> {
             staged.clear();
             staged.add(model);
-            beatSoon();
+            sendHeartbeatSoon();
         });
         return OrderAnswer.BEGUN;
     }
 
-    /** A join needs no load if the weights are in memory or on the host; a load replaces what the host keeps. */
+    /**
+     * Finishes a join. It counts as a load unless the weights were in memory or on the host; a load replaces the
+     * weights on the host.
+     */
     private void finishJoin() {
-        if (!joining.equals(lastModel) && !staged.contains(joining)) {
+        if (!joiningModel.equals(lastModel) && !staged.contains(joiningModel)) {
             fleet.loads++;
             staged.clear();
-            staged.add(joining);
+            staged.add(joiningModel);
         }
-        lastModel = joining;
+        lastModel = joiningModel;
     }
 
     private long joinMs(ModelVersionName model) {
@@ -151,14 +154,14 @@
         if (state != GroupState.READY) {
             return OrderAnswer.REFUSED;
         }
-        changesAtMs = fleet.nowMs() + FORMATION_MS;
+        nextStateChangeMs = fleet.nowMs() + FORMATION_MS;
         return OrderAnswer.BEGUN;
     }
 
     private OrderAnswer close() {
         if (state == GroupState.OPEN) {
             state = GroupState.CLOSING;
-            changesAtMs = fleet.nowMs() + 60;
+            nextStateChangeMs = fleet.nowMs() + 60;
             return OrderAnswer.BEGUN;
         }
         return state == GroupState.READY ? OrderAnswer.DONE : OrderAnswer.REFUSED;
@@ -167,64 +170,64 @@
     private OrderAnswer leave() {
         group = null;
         state = null;
-        changesAtMs = Long.MAX_VALUE;
-        beatSoon();
+        nextStateChangeMs = Long.MAX_VALUE;
+        sendHeartbeatSoon();
         return OrderAnswer.DONE;
     }
 
-    /** Lets time pass; returns a heartbeat if one is due and can be sent. */
+    /** Advances the VM to the current time; returns a heartbeat if one is due and can be sent. */
     Optional<VmHeartbeat> tick() {
         if (ended) {
             return Optional.empty();
         }
         changeState();
-        standStill();
+        updateStall();
         if (fleet.nowMs() < nextHeartbeatMs) {
             return Optional.empty();
         }
         nextHeartbeatMs = fleet.nowMs() + SimulatedFleet.HEARTBEAT_MS;
         sequence++;
-        return dark || mute ? Optional.empty() : Optional.of(heartbeat());
+        return partitioned || losesHeartbeats ? Optional.empty() : Optional.of(heartbeat());
     }
 
     private void changeState() {
-        if (fleet.nowMs() < changesAtMs) {
+        if (fleet.nowMs() < nextStateChangeMs) {
             return;
         }
-        changesAtMs = Long.MAX_VALUE;
+        nextStateChangeMs = Long.MAX_VALUE;
         if (state == GroupState.READY) {
-            fleet.checkOpens(this);
+            fleet.checkCompleteBeforeOpening(this);
             state = GroupState.OPEN;
         } else {
             if (state == GroupState.JOINING) {
                 finishJoin();
             }
             state = GroupState.READY;
-            fleet.readyOnce(group, life.vm());
+            fleet.recordReady(group, incarnation.vm());
         }
-        beatSoon();
+        sendHeartbeatSoon();
     }
 
-    private void standStill() {
+    private void updateStall() {
         if (!isHead() || state != GroupState.OPEN) {
-            standsStillSinceMs = Long.MAX_VALUE;
+            stalledSinceMs = Long.MAX_VALUE;
             return;
         }
         final boolean whole = members.stream().allMatch(member -> fleet.isIn(member, group, epoch));
-        standsStillSinceMs = whole ? Long.MAX_VALUE : Math.min(standsStillSinceMs, fleet.nowMs());
-        if (!whole && fleet.nowMs() - standsStillSinceMs >= STALL_MS) {
+        stalledSinceMs = whole ? Long.MAX_VALUE : Math.min(stalledSinceMs, fleet.nowMs());
+        if (!whole && fleet.nowMs() - stalledSinceMs >= STALL_MS) {
             state = GroupState.BROKEN;
-            beatSoon();
+            sendHeartbeatSoon();
         }
     }
 
-    private void beatSoon() {
+    private void sendHeartbeatSoon() {
         nextHeartbeatMs = fleet.nowMs();
     }
 
     private VmHeartbeat heartbeat() {
         return new VmHeartbeat(
-                life,
+                incarnation,
                 sequence,
                 ServiceName.of("pool"),
                 "10.0.0.1:" + (1_000 + fleet.indexOf(this)),
@@ -240,7 +243,7 @@
                         .map(name -> new GroupReport(
                                 name,
                                 epoch,
-                                members.indexOf(life.vm()),
+                                members.indexOf(incarnation.vm()),
                                 Optional.ofNullable(state).orElseThrow())));
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/published/PublishedCheckerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/published/PublishedCheckerTest.java
@@ -38,7 +38,7 @@
 
     @ParameterizedTest
     @MethodSource("faults")
-    void findsEachKindOfFault(String code, PublishedConfiguration configuration) {
+    void findsEachFault(String code, PublishedConfiguration configuration) {
         assertThat(PublishedChecker.check(configuration).stream().map(PublishedFault::code))
                 .containsExactly(code);
     }
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void acceptsSoundConfiguration() {
+    void acceptsValidConfiguration() {
         assertThat(PublishedChecker.check(with(organisation("one", "key-1"), organisation("two", "key-2"))))
                 .isEmpty();
     }
@@ -79,8 +79,8 @@
         "STREAMING, true, true",
         "STREAMING, false, false",
     })
-    void kindDecidesWhatMayBeRepeated(RouteKind kind, boolean resumable, boolean repeatable) {
-        assertThat(kind.mayRepeat(resumable)).isEqualTo(repeatable);
+    void kindDecidesWhatMayBeRepeated(RouteKind kind, boolean resumable, boolean retryable) {
+        assertThat(kind.mayRetry(resumable)).isEqualTo(retryable);
     }
 
     @ParameterizedTest
--- a/src/test/java/org/wigeongrade/decisions/published/PublishedStateMachineTest.java
+++ b/src/test/java/org/wigeongrade/decisions/published/PublishedStateMachineTest.java
@@ -20,16 +20,16 @@
         "7, other, VERSION_TAKEN, 7, held",
         "6, old, UNCHANGED, 7, held",
     })
-    void highestVersionWins(long version, String document, PublishOutcome outcome, long inForce, String content) {
+    void highestVersionWins(long version, String document, PublishOutcome outcome, long versionInForce, String documentInForce) {
         publish(7, "held");
 
         assertThat(publish(version, document)).isEqualTo(outcome);
-        assertThat(machine.state().version()).isEqualTo(inForce);
-        assertThat(document(machine)).isEqualTo(content);
+        assertThat(machine.state().version()).isEqualTo(versionInForce);
+        assertThat(document(machine)).isEqualTo(documentInForce);
     }
 
     @Test
-    void zonesOutlivePublishing() {
+    void publishingKeepsZonesOut() {
         machine.apply(new PublishedCommand.SetZone(ZONE, true).encode());
         publish(1, "one");
 
