--- a/src/main/java/org/wigeongrade/decisions/balancing/Balancer.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/Balancer.java
@@ -103,8 +103,9 @@
         if (available.isEmpty()) {
             return Placement.refused(Placement.Refusal.ALL_BUSY, untried.size(), retryAfterMs(request));
         }
-        final List<EndpointLoad> healthy =
-                available.stream().filter(endpoint -> isHealthy(endpoint, nowNanos)).toList();
+        final List<EndpointLoad> healthy = available.stream()
+                .filter(endpoint -> isHealthy(endpoint, nowNanos))
+                .toList();
         final EndpointLoad chosen = sample(healthy.isEmpty() ? available : healthy, limits.entryNodes()).stream()
                 .map(endpoint -> new EndpointCost(endpoint, cost(endpoint, request, engine, medianSlowness, nowNanos)))
                 .min(Comparator.comparingDouble(EndpointCost::cost))
@@ -114,9 +115,7 @@
     }
 
     private static boolean isHealthy(EndpointLoad endpoint, long nowNanos) {
-        return !endpoint.isAvoided(nowNanos)
-                && !endpoint.isSuspect()
-                && endpoint.stalledNanos(nowNanos) < STALL_NANOS;
+        return !endpoint.isAvoided(nowNanos) && !endpoint.isSuspect() && endpoint.stalledNanos(nowNanos) < STALL_NANOS;
     }
 
     /**
@@ -200,8 +199,8 @@
             return 0;
         }
         final double silentMs = endpoint.stalledNanos(nowNanos) / 1e6;
-        final double expectedMs =
-                EXPECTED_SILENT_PASSES * model.passMs(endpoint.running()) + model.prefillMs(endpoint.pendingPromptTokens());
+        final double expectedMs = EXPECTED_SILENT_PASSES * model.passMs(endpoint.running())
+                + model.prefillMs(endpoint.pendingPromptTokens());
         return Math.max(0, silentMs - expectedMs * endpoint.paceFactor());
     }
 
--- a/src/main/java/org/wigeongrade/decisions/balancing/EngineModel.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/EngineModel.java
@@ -54,7 +54,8 @@
 
     /** Returns the time of the prefill of a prompt on an otherwise idle engine, in milliseconds. */
     public double prefillMs(int promptTokens) {
-        final double pairsMs = engine.attentionMsPerMillionPairs() * promptTokens / 2.0 * promptTokens / PAIRS_PER_MILLION;
+        final double pairsMs =
+                engine.attentionMsPerMillionPairs() * promptTokens / 2.0 * promptTokens / PAIRS_PER_MILLION;
         return paceFactor * (promptTokens / engine.prefillTokensPerSecond() * MS_PER_SECOND + pairsMs);
     }
 
@@ -65,7 +66,8 @@
      * @param pendingPromptTokens prompt tokens of these requests that wait for prefill
      */
     public double firstEventMs(int running, int pendingPromptTokens, int promptTokens) {
-        final double pendingPrefillMs = paceFactor * pendingPromptTokens / engine.prefillTokensPerSecond() * MS_PER_SECOND;
+        final double pendingPrefillMs =
+                paceFactor * pendingPromptTokens / engine.prefillTokensPerSecond() * MS_PER_SECOND;
         final int prefillSteps = 1 + (pendingPromptTokens + promptTokens) / Math.max(1, engine.prefillChunkTokens());
         final double currentPassMs = running == 0 ? 0 : passMs(running) / 2;
         return overhead.ms()
--- a/src/main/java/org/wigeongrade/decisions/discovery/VmRecord.java
+++ b/src/main/java/org/wigeongrade/decisions/discovery/VmRecord.java
@@ -10,7 +10,8 @@
  * @param departed whether the VM has announced that it leaves permanently
  * @param ended whether the incarnation is known to have ended
  */
-public record VmRecord(VmHeartbeat heartbeat, long receivedNanos, long coldUntilNanos, boolean departed, boolean ended) {
+public record VmRecord(
+        VmHeartbeat heartbeat, long receivedNanos, long coldUntilNanos, boolean departed, boolean ended) {
     public VmIncarnation vm() {
         return heartbeat.vm();
     }
--- a/src/main/java/org/wigeongrade/decisions/grouping/CrossDomainGroups.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/CrossDomainGroups.java
@@ -42,7 +42,8 @@
             int targetCount,
             long nowNanos) {
         final Long sinceNanos = shortageSinceNanos.get(model.name());
-        final boolean longShortage = sinceNanos != null && nowNanos - sinceNanos >= GroupTimings.CROSS_DOMAIN_DELAY_NANOS;
+        final boolean longShortage =
+                sinceNanos != null && nowNanos - sinceNanos >= GroupTimings.CROSS_DOMAIN_DELAY_NANOS;
         return longShortage && groupCount < TargetGroupCount.SHORTAGE_RATIO * targetCount
                 ? MemberSelection.acrossDomains(inDomainsWithoutGroup(free, model, groups), model)
                 : Optional.empty();
@@ -52,7 +53,8 @@
      * Returns the free VMs of domains that have no group of the model; elsewhere, free VMs are kept to repair the group
      * of their domain.
      */
-    private static List<VmHeartbeat> inDomainsWithoutGroup(List<VmHeartbeat> free, GroupedModel model, List<ManagedGroup> groups) {
+    private static List<VmHeartbeat> inDomainsWithoutGroup(
+            List<VmHeartbeat> free, GroupedModel model, List<ManagedGroup> groups) {
         final Set<FabricDomain> domainsWithGroup = groups.stream()
                 .filter(group -> !group.isSpare()
                         && !group.spansDomains()
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupMember.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupMember.java
@@ -26,7 +26,8 @@
 
     /** Returns whether to send the order: it differs from the latest one, or the resend interval has passed. */
     boolean isDue(GroupOrderKind kind, long resendNanos, long nowNanos) {
-        final long waitNanos = unansweredOrders > GroupTimings.MAX_QUICK_RESENDS ? GroupTimings.SLOW_RESEND_NANOS : resendNanos;
+        final long waitNanos =
+                unansweredOrders > GroupTimings.MAX_QUICK_RESENDS ? GroupTimings.SLOW_RESEND_NANOS : resendNanos;
         return lastOrderKind.filter(kind::equals).isEmpty() || nowNanos - lastSentNanos >= waitNanos;
     }
 
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupPlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupPlanner.java
@@ -75,7 +75,9 @@
         adopt(engine, vms, timings.silentNanos(), nowNanos);
         groups.forEach(group -> step(group, context));
         removeEnded(nowNanos);
-        engine.models().forEach(model -> crossDomainGroups.updateShortage(model, lacksGroups(model, context), context.nowNanos()));
+        engine.models()
+                .forEach(model ->
+                        crossDomainGroups.updateShortage(model, lacksGroups(model, context), context.nowNanos()));
         formMissingGroups(engine, context);
         scaleUp(engine, context);
         keepSpares(engine, context);
@@ -155,7 +157,10 @@
     private void scaleUp(EngineProfile engine, PlanningContext context) {
         for (final GroupedModel model : engine.models()) {
             final Optional<MemberSelection> selection = scaleUpPolicy.shouldAddGroup(engine, model, groups, context)
-                    ? MemberSelection.withinDomain(freeVms(context, true), model, domain -> countGroupsInDomain(domain, model, context))
+                    ? MemberSelection.withinDomain(
+                                    freeVms(context, true),
+                                    model,
+                                    domain -> countGroupsInDomain(domain, model, context))
                             .filter(found -> found.storeLoads() == 0)
                     : Optional.empty();
             selection.ifPresent(found -> {
@@ -170,7 +175,8 @@
         return engine.models().stream()
                 .filter(model -> lacksGroups(model, context))
                 .filter(model -> selectMembers(engine, model, context).isPresent())
-                .min(Comparator.comparingDouble(model -> (double) countGroups(model, context) / targetCount(model, context)));
+                .min(Comparator.comparingDouble(
+                        model -> (double) countGroups(model, context) / targetCount(model, context)));
     }
 
     private boolean lacksGroups(GroupedModel model, PlanningContext context) {
@@ -188,7 +194,8 @@
     }
 
     private void form(GroupedModel model, MemberSelection selection, PlanningContext context) {
-        selection.members()
+        selection
+                .members()
                 .forEach(member -> groups.stream()
                         .filter(group ->
                                 group.isSpare() && group.hasMember(member.vm().vm()))
@@ -204,9 +211,16 @@
                 MemberSelection.withinDomain(free, model, domain -> countGroupsInDomain(domain, model, context));
         final boolean needsLoad = withinDomain.isEmpty() || withinDomain.get().storeLoads() > 0;
         final Optional<MemberSelection> acrossDomains = needsLoad
-                ? crossDomainGroups.selectMembers(model, free, groups, countGroups(model, context), targetCount(model, context), context.nowNanos())
+                ? crossDomainGroups.selectMembers(
+                        model,
+                        free,
+                        groups,
+                        countGroups(model, context),
+                        targetCount(model, context),
+                        context.nowNanos())
                 : Optional.empty();
-        return acrossDomains.or(() -> withinDomain.filter(selection -> selection.storeLoads() == 0 || !loadLimiter.haveCallersStarted())
+        return acrossDomains.or(() -> withinDomain
+                .filter(selection -> selection.storeLoads() == 0 || !loadLimiter.haveCallersStarted())
                 .filter(selection -> loadLimiter.allows(
                         selection.storeLoads(),
                         runningLoads(context),
@@ -228,7 +242,8 @@
                             context.nowNanos()))
                     .isPresent();
             if (allowed) {
-                loadLimiter.recordStarted(Readiness.of(vm, model.get()) == Readiness.NEEDS_LOAD ? 1 : 0, context.nowNanos());
+                loadLimiter.recordStarted(
+                        Readiness.of(vm, model.get()) == Readiness.NEEDS_LOAD ? 1 : 0, context.nowNanos());
                 start(GroupPhase.SPARE, model.get(), ImmutableList.of(vm), context);
             }
         }
@@ -240,8 +255,8 @@
         return !loadLimiter.haveCallersStarted()
                 && engine.models().stream()
                         .filter(model -> lacksGroups(model, context))
-                        .anyMatch(model ->
-                                MemberSelection.withinDomain(free, model, domain -> 0).isPresent());
+                        .anyMatch(model -> MemberSelection.withinDomain(free, model, domain -> 0)
+                                .isPresent());
     }
 
     /** Orders spares to load the weights of a second model onto their hosts, so that they can serve either model. */
@@ -251,7 +266,11 @@
             final boolean allowed = stagingTracker.runningCount() < GroupTimings.MAX_CONCURRENT_SECOND_LOADS
                     && stagingTracker.canBegin(candidate.spare(), context.nowNanos())
                     && loadLimiter.allows(
-                            1, runningLoads(context), engine.loadsPerSecond(), engine.maxConcurrentLoads(), context.nowNanos());
+                            1,
+                            runningLoads(context),
+                            engine.loadsPerSecond(),
+                            engine.maxConcurrentLoads(),
+                            context.nowNanos());
             if (allowed) {
                 loadLimiter.recordStarted(1, context.nowNanos());
                 stagingTracker.recordBegun(candidate, context.nowNanos());
@@ -286,7 +305,8 @@
 
     private int countGroups(GroupedModel model, PlanningContext context) {
         final long managed = groups.stream()
-                .filter(group -> group.phase().isServingOrStarting() && group.model.name().equals(model.name()))
+                .filter(group -> group.phase().isServingOrStarting()
+                        && group.model.name().equals(model.name()))
                 .count();
         return (int) managed
                 + inherited.countPending(
@@ -298,7 +318,8 @@
 
     private int countGroupsInDomain(FabricDomain domain, GroupedModel model, PlanningContext context) {
         return (int) groups.stream()
-                .filter(group -> group.phase().isServingOrStarting() && group.model.name().equals(model.name()))
+                .filter(group -> group.phase().isServingOrStarting()
+                        && group.model.name().equals(model.name()))
                 .filter(group -> context.record(group.head())
                         .flatMap(head -> head.heartbeat().domain())
                         .filter(domain::equals)
@@ -336,7 +357,9 @@
                 .filter(vm -> groups.stream()
                         .noneMatch(group -> !(withSpares && group.isSpare())
                                 && (group.hasMember(vm.vm().vm()) || isReportedBy(vm, group))))
-                .filter(vm -> vm.receivedNanos() - startedNanos > 0 && sentHeartbeatSinceUnresponsive(vm) && !inherited.isInUnadoptedGroup(vm))
+                .filter(vm -> vm.receivedNanos() - startedNanos > 0
+                        && sentHeartbeatSinceUnresponsive(vm)
+                        && !inherited.isInUnadoptedGroup(vm))
                 .map(VmRecord::heartbeat)
                 .toList();
     }
--- a/src/main/java/org/wigeongrade/decisions/grouping/InheritedGroups.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/InheritedGroups.java
@@ -51,7 +51,9 @@
      * that reopened because a delayed order was carried out.
      */
     boolean isInUnadoptedGroup(VmRecord vm) {
-        return keyOf(vm).filter(key -> !owned.contains(key) || reappeared(key, vm)).isPresent();
+        return keyOf(vm)
+                .filter(key -> !owned.contains(key) || reappeared(key, vm))
+                .isPresent();
     }
 
     private boolean reappeared(Key key, VmRecord vm) {
@@ -115,7 +117,8 @@
         if (!completeAndOpen && !waitedLongEnough) {
             return Optional.empty();
         }
-        final GroupPhase phase = completeAndOpen ? GroupPhase.SERVING : headKnown ? GroupPhase.CLOSING : GroupPhase.BREAKING;
+        final GroupPhase phase =
+                completeAndOpen ? GroupPhase.SERVING : headKnown ? GroupPhase.CLOSING : GroupPhase.BREAKING;
         // The model of a group that is about to end has no effect, so any will do if the VM reports none.
         return Optional.of(new ManagedGroup(
                 key.group(),
--- a/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
@@ -170,7 +170,8 @@
         if (isSuspect(context) && context.nowNanos() - nextCheckNanos >= 0) {
             members.forEach(GroupMember::resetUnansweredOrders);
             members.forEach(member -> sendOrder(member, GroupOrderKind.PROBE, context));
-            enterPhase(GroupPhase.CHECKING, "no progress, a refused connection or a late heartbeat", context.nowNanos());
+            enterPhase(
+                    GroupPhase.CHECKING, "no progress, a refused connection or a late heartbeat", context.nowNanos());
         }
     }
 
@@ -225,7 +226,9 @@
             enterPhase(GroupPhase.ENDED, cause, context.nowNanos());
             return;
         }
-        if (head().answerTo(GroupOrderKind.LEAVE).filter(OrderAnswer::isFromLiveVm).isPresent()) {
+        if (head().answerTo(GroupOrderKind.LEAVE)
+                .filter(OrderAnswer::isFromLiveVm)
+                .isPresent()) {
             enterPhase(GroupPhase.ENDED, cause, context.nowNanos());
             return;
         }
--- a/src/main/java/org/wigeongrade/decisions/grouping/MemberSelection.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/MemberSelection.java
@@ -45,7 +45,9 @@
         final List<VmHeartbeat> vmsWithWeights = free.stream()
                 .filter(vm -> Readiness.of(vm, model) != Readiness.NEEDS_LOAD)
                 .toList();
-        return vmsWithWeights.size() < model.groupSize() ? Optional.empty() : Optional.of(selectFastest(vmsWithWeights, model));
+        return vmsWithWeights.size() < model.groupSize()
+                ? Optional.empty()
+                : Optional.of(selectFastest(vmsWithWeights, model));
     }
 
     private static MemberSelection selectFastest(List<VmHeartbeat> free, GroupedModel model) {
--- a/src/main/java/org/wigeongrade/decisions/grouping/ScaleUpPolicy.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/ScaleUpPolicy.java
@@ -22,8 +22,10 @@
     private long lastAddedNanos = Long.MIN_VALUE;
 
     /** Returns whether one more group of the model may be added now. */
-    boolean shouldAddGroup(EngineProfile engine, GroupedModel model, List<ManagedGroup> groups, PlanningContext context) {
-        final boolean coolingDown = lastAddedNanos != Long.MIN_VALUE && context.nowNanos() - lastAddedNanos < COOLDOWN_NANOS;
+    boolean shouldAddGroup(
+            EngineProfile engine, GroupedModel model, List<ManagedGroup> groups, PlanningContext context) {
+        final boolean coolingDown =
+                lastAddedNanos != Long.MIN_VALUE && context.nowNanos() - lastAddedNanos < COOLDOWN_NANOS;
         return !coolingDown && slotUsage(engine, model, groups, context) >= HIGH_SLOT_USAGE;
     }
 
--- a/src/main/java/org/wigeongrade/decisions/grouping/SecondModelStaging.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/SecondModelStaging.java
@@ -82,8 +82,8 @@
                 .filter(vm -> vm.isStaying() && vm.heartbeat().domain().equals(domain))
                 .filter(vm -> Readiness.of(vm.heartbeat(), model) != Readiness.NEEDS_LOAD)
                 .filter(vm -> groups.stream()
-                        .noneMatch(
-                                group -> !group.isSpare() && group.hasMember(vm.vm().vm())))
+                        .noneMatch(group ->
+                                !group.isSpare() && group.hasMember(vm.vm().vm())))
                 .count();
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/WeightLoadLimiter.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/WeightLoadLimiter.java
@@ -34,8 +34,8 @@
             return true;
         }
         if (!callersStarted) {
-            // Until callers start, load times only grow in proportion to the concurrent loads, so the store is kept busy
-            // with as many loads as may run at once.
+            // Until callers start, load times only grow in proportion to the concurrent loads, so as many loads
+            // run as are allowed at once, to keep the store busy.
             return runningLoads < maxConcurrentLoads;
         }
         final boolean belowConcurrencyLimit = runningLoads == 0 || runningLoads + loads <= maxConcurrentLoads;
--- a/src/main/java/org/wigeongrade/decisions/published/DuplicateRouteRule.java
+++ b/src/main/java/org/wigeongrade/decisions/published/DuplicateRouteRule.java
@@ -19,7 +19,8 @@
         final Map<HostAndPrefix, RouteName> first = new HashMap<>();
         final Stream.Builder<String> faults = Stream.builder();
         for (final Route route : configuration.routes()) {
-            final RouteName earlier = first.putIfAbsent(new HostAndPrefix(route.hostname(), route.pathPrefix()), route.name());
+            final RouteName earlier =
+                    first.putIfAbsent(new HostAndPrefix(route.hostname(), route.pathPrefix()), route.name());
             if (earlier != null) {
                 faults.add("route " + route.name() + " has the same host and prefix as route " + earlier
                         + "; change one of them");
--- a/src/main/java/org/wigeongrade/decisions/published/PublishedChecker.java
+++ b/src/main/java/org/wigeongrade/decisions/published/PublishedChecker.java
@@ -16,7 +16,8 @@
     /** Returns all faults; empty if the configuration may be published. */
     public static ImmutableList<PublishedFault> check(PublishedConfiguration configuration) {
         return RULES.stream()
-                .flatMap(rule -> rule.findFaults(configuration).map(message -> new PublishedFault(rule.code(), message)))
+                .flatMap(
+                        rule -> rule.findFaults(configuration).map(message -> new PublishedFault(rule.code(), message)))
                 .collect(ImmutableList.toImmutableList());
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/balancing/BalancerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/balancing/BalancerTest.java
@@ -136,7 +136,8 @@
         final Placement placement = place(groups, Set.of(), 0);
 
         assertThat(placement.endpoint().isPresent()).isEqualTo(accepted);
-        assertThat(placement.refusal()).isEqualTo(accepted ? Optional.empty() : Optional.of(Placement.Refusal.ALL_BUSY));
+        assertThat(placement.refusal())
+                .isEqualTo(accepted ? Optional.empty() : Optional.of(Placement.Refusal.ALL_BUSY));
         assertThat(placement.retryAfterMs() > 0).isEqualTo(!accepted);
     }
 
@@ -167,9 +168,11 @@
         final EndpointLoad crossDomain = crossDomainGroup("far");
         final EndpointLoad singleDomain = group("near", HERE);
 
-        assertThat(place(List.of(crossDomain, singleDomain), Set.of(), 0).endpoint()).hasValue(singleDomain);
+        assertThat(place(List.of(crossDomain, singleDomain), Set.of(), 0).endpoint())
+                .hasValue(singleDomain);
         send(singleDomain, 20);
-        assertThat(place(List.of(crossDomain, singleDomain), Set.of(), 0).endpoint()).hasValue(crossDomain);
+        assertThat(place(List.of(crossDomain, singleDomain), Set.of(), 0).endpoint())
+                .hasValue(crossDomain);
     }
 
     @ParameterizedTest
--- a/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
@@ -152,13 +152,15 @@
                 .filter(vm -> vm.mayServe() || refusedSinceMs.containsKey(vm.incarnation.vm()))
                 .collect(ImmutableMap.toImmutableMap(head -> head.incarnation.vm(), head -> {
                     final boolean refuses = refusedSinceMs.containsKey(head.incarnation.vm());
-                    final long progressedMs = refuses ? refusedSinceMs.get(head.incarnation.vm()) : nowMs - head.stalledMs();
+                    final long progressedMs =
+                            refuses ? refusedSinceMs.get(head.incarnation.vm()) : nowMs - head.stalledMs();
                     return new EndpointEvidence(requestsAt(head), nowMs - progressedMs, nanos(progressedMs), refuses);
                 }));
     }
 
     private int requestsAt(SimulatedVm head) {
-        return saturatedModel.filter(model -> model.name().equals(head.lastModel))
+        return saturatedModel
+                .filter(model -> model.name().equals(head.lastModel))
                 .map(model -> ENGINE.slots())
                 .orElse(1);
     }
@@ -303,8 +305,8 @@
 
     boolean isIn(VmName member, GroupName group, long epoch) {
         return vms.stream()
-                .anyMatch(
-                        vm -> !vm.ended && vm.incarnation.vm().equals(member) && group.equals(vm.group) && vm.epoch == epoch);
+                .anyMatch(vm ->
+                        !vm.ended && vm.incarnation.vm().equals(member) && group.equals(vm.group) && vm.epoch == epoch);
     }
 
     void recordReady(GroupName group, VmName vm) {
@@ -316,15 +318,16 @@
         final boolean whole =
                 head.members.size() == model(head.lastModel).groupSize() && ready.containsAll(head.members);
         if (!whole) {
-            violations.add(nowMs + " ms: " + head.group + " opens, but its ready members were " + ready + " of " + head.members);
+            violations.add(nowMs + " ms: " + head.group + " opens, but its ready members were " + ready + " of "
+                    + head.members);
         }
     }
 
     void checkNotServingBeforeJoin(SimulatedVm vm, GroupOrder order) {
         vms.stream()
                 .filter(head -> head.mayServe() && head.group.equals(vm.group) && head.epoch == vm.epoch)
-                .forEach(head -> violations.add(nowMs + " ms: " + vm.incarnation + " joins " + order.group() + " while head "
-                        + head.incarnation + " of " + head.group + " is " + head.state));
+                .forEach(head -> violations.add(nowMs + " ms: " + vm.incarnation + " joins " + order.group()
+                        + " while head " + head.incarnation + " of " + head.group + " is " + head.state));
     }
 
     void schedule(long delayMs, Runnable action) {
--- a/src/test/java/org/wigeongrade/decisions/published/PublishedStateMachineTest.java
+++ b/src/test/java/org/wigeongrade/decisions/published/PublishedStateMachineTest.java
@@ -20,7 +20,8 @@
         "7, other, VERSION_TAKEN, 7, held",
         "6, old, UNCHANGED, 7, held",
     })
-    void highestVersionWins(long version, String document, PublishOutcome outcome, long versionInForce, String documentInForce) {
+    void highestVersionWins(
+            long version, String document, PublishOutcome outcome, long versionInForce, String documentInForce) {
         publish(7, "held");
 
         assertThat(publish(version, document)).isEqualTo(outcome);
