--- a/src/main/java/org/wigeongrade/fleet/ConfigurationCache.java
+++ b/src/main/java/org/wigeongrade/fleet/ConfigurationCache.java
@@ -4,7 +4,7 @@
 import org.wigeongrade.decisions.published.PublishedConfiguration;
 import org.wigeongrade.fleet.control.DocumentReader;
 
-/** Keeps the configuration that was read last, by its version. Thread safe. */
+/** Caches the configuration that was parsed last, by its version. Thread safe. */
 public final class ConfigurationCache {
     private final DocumentReader reader;
     private Optional<PublishedConfiguration> latest = Optional.empty();
@@ -13,9 +13,9 @@
         this.reader = reader;
     }
 
-    /** Returns the configuration of a document that was accepted under this version. */
+    /** Returns the parsed configuration of the document that was accepted with this version. */
     public synchronized PublishedConfiguration get(long version, byte[] document) {
-        if (latest.filter(known -> known.version() == version).isEmpty()) {
+        if (latest.filter(cached -> cached.version() == version).isEmpty()) {
             latest = Optional.of(reader.read(document));
         }
         return latest.get();
--- a/src/main/java/org/wigeongrade/fleet/ControlDirectory.java
+++ b/src/main/java/org/wigeongrade/fleet/ControlDirectory.java
@@ -11,9 +11,9 @@
 import org.wigeongrade.nodes.log.PeerDirectory;
 
 /**
- * The control VMs that a node knows, named by their IP numbers; the ports are the same on all of them.
+ * The control VMs that a node knows, named by their IP addresses; all of them use the same ports.
  *
- * <p>Invariant: only grows, from the seeds on. Thread safe.
+ * <p>Invariant: starts with the seeds and only grows. Thread safe.
  */
 public final class ControlDirectory implements PeerDirectory {
     private final int logPort;
@@ -28,14 +28,14 @@
         this.known.addAll(seeds);
     }
 
-    /** Adds control VMs; returns those that were not known. */
+    /** Adds control VMs by their IP addresses; returns those that were new. */
     public synchronized ImmutableSet<String> learn(Collection<String> ips) {
         final ImmutableSet.Builder<String> added = ImmutableSet.builder();
         ips.stream().filter(InetAddresses::isInetAddress).filter(known::add).forEach(added::add);
         return added.build();
     }
 
-    /** Returns every known control VM. */
+    /** Returns the IP addresses of all known control VMs. */
     public synchronized ImmutableSet<String> known() {
         return ImmutableSet.copyOf(known);
     }
@@ -47,12 +47,12 @@
                 : Optional.empty();
     }
 
-    /** Returns where a control VM takes calls of other nodes. */
+    /** Returns the address at which a control VM accepts calls from other nodes. */
     public InetSocketAddress fleetAddress(String ip) {
         return address(ip, fleetPort);
     }
 
-    /** Returns where a control VM serves endpoints and operators. */
+    /** Returns the address at which a control VM serves endpoints and operators. */
     public InetSocketAddress controlAddress(String ip) {
         return address(ip, controlPort);
     }
--- a/src/main/java/org/wigeongrade/fleet/FleetClient.java
+++ b/src/main/java/org/wigeongrade/fleet/FleetClient.java
@@ -10,9 +10,9 @@
 import org.wigeongrade.nodes.NodeServer;
 
 /**
- * Calls one control node, one call at a time.
+ * Thrift client of one control node, for one call at a time.
  *
- * <p>Invariant: a connection that saw a failure or a late answer is closed and never used again. Not thread safe.
+ * <p>Invariant: a connection on which a call failed or timed out is closed and never reused. Not thread safe.
  */
 public final class FleetClient implements AutoCloseable {
     private final InetSocketAddress address;
@@ -25,23 +25,23 @@
         this.readTimeoutMs = readTimeoutMs;
     }
 
-    /** One call on an open connection. */
+    /** A call on an open connection. */
     @FunctionalInterface
     public interface Call<T> {
         T apply(FleetService.Client client) throws TException;
     }
 
-    /** Runs a call and waits for its answer. */
+    /** Runs a call, on a new connection if none is open, and waits for its reply. */
     public <T> T call(Call<T> call) throws TException {
         try {
-            return call.apply(connected());
+            return call.apply(connectedClient());
         } catch (TException | RuntimeException e) {
             close();
             throw e;
         }
     }
 
-    private FleetService.Client connected() throws TException {
+    private FleetService.Client connectedClient() throws TException {
         if (client.isPresent()) {
             return client.get();
         }
--- a/src/main/java/org/wigeongrade/fleet/MetricsListener.java
+++ b/src/main/java/org/wigeongrade/fleet/MetricsListener.java
@@ -19,17 +19,17 @@
 
     private MetricsListener() {}
 
-    /** Begins to listen. */
+    /** Starts listening. */
     public static HttpListener open(EventLoop loop, InetSocketAddress address, Metrics metrics) {
         return HttpListener.open(
                 loop,
                 address,
                 MAX_HEADER_BYTES,
                 pipeline -> pipeline.addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
-                        .addLast(new CallServer(call -> CompletableFuture.completedFuture(answer(call, metrics)))));
+                        .addLast(new CallServer(call -> CompletableFuture.completedFuture(respond(call, metrics)))));
     }
 
-    private static HttpReply answer(CallServer.Call call, Metrics metrics) {
+    private static HttpReply respond(CallServer.Call call, Metrics metrics) {
         return call.path().equals(PATH)
                 ? HttpReply.text(OK, metrics.render()).with("content-type", Metrics.CONTENT_TYPE)
                 : HttpReply.text(NOT_FOUND, "metrics are at " + PATH + "\n");
--- a/src/main/java/org/wigeongrade/fleet/SuspendAwareClock.java
+++ b/src/main/java/org/wigeongrade/fleet/SuspendAwareClock.java
@@ -4,46 +4,46 @@
 import java.util.function.LongSupplier;
 
 /**
- * A monotonic clock, in nanoseconds, that also counts the time for which the VM was suspended.
+ * A monotonic clock, in nanoseconds, that includes the time for which the VM was suspended.
  *
- * <p>The steady clock stands still while a VM is suspended, the time of day does not. A jump of the time of day against the
- * steady clock counts as a suspension, so that a lease ends too early rather than too late; a jump back counts for
- * nothing. Invariant: never goes back. Thread safe.
+ * <p>The JVM's monotonic clock stops while a VM is suspended, the wall clock does not. If the wall clock jumps forward
+ * relative to the monotonic clock, the jump counts as a suspension, so that a lease ends too early rather than too
+ * late; a backward jump is ignored. Invariant: the returned time never decreases. Thread safe.
  */
 public final class SuspendAwareClock implements LongSupplier {
-    /** A smaller difference is taken for drift of the clocks. */
-    private static final long SMALLEST_JUMP_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    /** Smaller changes of the offset are treated as clock drift. */
+    private static final long MIN_JUMP_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    private final LongSupplier steadyNanos;
+    private final LongSupplier monotonicNanos;
     private final LongSupplier epochMs;
-    private long wallMinusSteadyNanos;
+    private long lastOffsetNanos;
     private long suspendedNanos;
 
     public SuspendAwareClock() {
         this(System::nanoTime, System::currentTimeMillis);
     }
 
-    SuspendAwareClock(LongSupplier steadyNanos, LongSupplier epochMs) {
-        this.steadyNanos = steadyNanos;
+    SuspendAwareClock(LongSupplier monotonicNanos, LongSupplier epochMs) {
+        this.monotonicNanos = monotonicNanos;
         this.epochMs = epochMs;
-        this.wallMinusSteadyNanos = difference(steadyNanos.getAsLong());
+        this.lastOffsetNanos = offsetNanos(monotonicNanos.getAsLong());
     }
 
     @Override
     public synchronized long getAsLong() {
-        final long steady = steadyNanos.getAsLong();
-        final long difference = difference(steady);
-        final long jumpNanos = difference - wallMinusSteadyNanos;
-        if (jumpNanos > SMALLEST_JUMP_NANOS) {
+        final long monotonic = monotonicNanos.getAsLong();
+        final long offset = offsetNanos(monotonic);
+        final long jumpNanos = offset - lastOffsetNanos;
+        if (jumpNanos > MIN_JUMP_NANOS) {
             suspendedNanos += jumpNanos;
-            wallMinusSteadyNanos = difference;
-        } else if (jumpNanos < -SMALLEST_JUMP_NANOS) {
-            wallMinusSteadyNanos = difference;
+            lastOffsetNanos = offset;
+        } else if (jumpNanos < -MIN_JUMP_NANOS) {
+            lastOffsetNanos = offset;
         }
-        return steady + suspendedNanos;
+        return monotonic + suspendedNanos;
     }
 
-    private long difference(long steady) {
-        return TimeUnit.MILLISECONDS.toNanos(epochMs.getAsLong()) - steady;
+    private long offsetNanos(long monotonic) {
+        return TimeUnit.MILLISECONDS.toNanos(epochMs.getAsLong()) - monotonic;
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/AnswerHead.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/AnswerHead.java
@@ -6,15 +6,15 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * Status and headers of an endpoint's answer, decoded. The headers are not changed after this.
+ * Decoded status and headers of an endpoint's response. The headers are not modified after decoding.
  *
- * @param attemptId id of the request that the answer belongs to, if it says so
- * @param notRun whether the endpoint says that it did not run the request
- * @param signed whether the endpoint signed the answer
- * @param encoded whether the body is not that of the endpoint
- * @param faultyVm VM that the endpoint blames for a refusal
- * @param reusableForMs how long the connection may stay idle; absent if it must not be used again
- * @param headers headers that may be passed on
+ * @param attemptId id of the request that the response belongs to, if the endpoint stated it
+ * @param notRun whether the endpoint stated that it did not run the request
+ * @param signed whether the endpoint signed the response
+ * @param encoded whether the body has a content encoding, so that it is not the body that the endpoint sent
+ * @param faultyVm VM that the endpoint named as the cause of its refusal
+ * @param reusableForMs how long the connection may stay idle before it is reused; absent if it must not be reused
+ * @param headers headers that may be forwarded to the caller
  */
 public record AnswerHead(
         int status,
--- a/src/main/java/org/wigeongrade/fleet/entry/CallerCodec.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/CallerCodec.java
@@ -5,20 +5,23 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.fleet.net.HttpReply;
 
-/** Reads and writes messages as callers and endpoints speak them. Implementations are stateless and thread safe. */
+/**
+ * Converts between internal messages and the HTTP messages of callers and endpoints. Implementations are stateless and
+ * thread safe.
+ */
 public interface CallerCodec {
-    /** Returns whether the request asks whether this node is ready. */
+    /** Returns whether the request is a readiness check of this node. */
     boolean isReadinessCall(String method, String path);
 
-    /** Decodes a caller's request; throws with kind MALFORMED_REQUEST if it cannot be passed on safely. */
+    /** Decodes a caller's request; throws with kind MALFORMED_REQUEST if it cannot be forwarded safely. */
     CallerRequest decode(FullHttpRequest request);
 
-    /** Returns the request for an endpoint. */
-    FullHttpRequest encode(CallerRequest request, SendTerms terms, String address);
+    /** Returns the request to send to an endpoint. */
+    FullHttpRequest encode(CallerRequest request, SendTerms metadata, String address);
 
-    /** Decodes the head of an endpoint's answer. */
+    /** Decodes the status and headers of an endpoint's response. */
     AnswerHead decode(HttpResponse response);
 
-    /** Returns the answer of this system for an error. */
+    /** Returns the error response that this system sends to the caller. */
     HttpReply error(CallerRequest request, ErrorKind kind, String message, long retryAfterMs);
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/CallerConnection.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/CallerConnection.java
@@ -24,28 +24,30 @@
 import org.wigeongrade.decisions.published.CallerLimits;
 import org.wigeongrade.decisions.published.PublishedConfiguration;
 import org.wigeongrade.errors.WigeongradeException;
-import org.wigeongrade.fleet.net.Futures;
+import org.wigeongrade.fleet.net.NettyFutures;
 import org.wigeongrade.fleet.net.HttpReply;
 import org.wigeongrade.logging.LogEvent;
 
 /**
- * One connection of a caller. Used on the event loop only.
+ * A connection from a caller. Used on the event loop only.
  *
- * <p>Invariants: requests are answered one at a time, in their order; while the node stops, each answer ends its
- * connection.
+ * <p>Invariants: requests are processed one at a time, in the order of arrival; while the node stops, each response
+ * closes its connection.
  */
-final class CallerConnection extends SimpleChannelInboundHandler<FullHttpRequest> implements CallerLink {
+final class CallerConnection extends SimpleChannelInboundHandler<FullHttpRequest> implements ResponseWriter {
     private static final int BAD_REQUEST = 400;
-    /** Requests that may wait behind the one that is served; a caller that sends more is not read. */
-    private static final int MAX_WAITING = 4;
+    /**
+     * Maximum of pipelined requests that wait behind the current one; while it is reached, the connection is not read.
+     */
+    private static final int MAX_PIPELINED = 4;
 
     private final EntryServices services;
     private final CallerConnections connections;
-    private final Deque<FullHttpRequest> waiting = new ArrayDeque<>();
+    private final Deque<FullHttpRequest> pipelined = new ArrayDeque<>();
     private ChannelHandlerContext context;
-    private Optional<Exchange> current = Optional.empty();
+    private Optional<Exchange> currentExchange = Optional.empty();
     private boolean keepAlive = true;
-    private boolean broken;
+    private boolean willClose;
     private long idleSinceNanos;
 
     CallerConnection(EntryServices services, CallerConnections connections) {
@@ -63,9 +65,9 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext reading, FullHttpRequest message) {
-        if (current.isPresent()) {
-            waiting.addLast(message.retain());
-            reading.channel().config().setAutoRead(waiting.size() < MAX_WAITING);
+        if (currentExchange.isPresent()) {
+            pipelined.addLast(message.retain());
+            reading.channel().config().setAutoRead(pipelined.size() < MAX_PIPELINED);
             return;
         }
         serve(message);
@@ -73,13 +75,13 @@
 
     /** Returns whether no request is being served. */
     boolean isIdle() {
-        return current.isEmpty();
+        return currentExchange.isEmpty();
     }
 
     /** Closes the connection if no request is being served. */
     void closeIfIdle() {
         if (isIdle()) {
-            Futures.unwatched(context.close());
+            NettyFutures.logFailure(context.close());
         }
     }
 
@@ -91,21 +93,21 @@
         } catch (WigeongradeException e) {
             keepAlive = false;
             services.events().write(LogEvent.REQUEST_FAILED, "-", e.kind().code(), 0, e.getMessage());
-            answer(HttpReply.text(BAD_REQUEST, e.getMessage() + "\n"));
+            writeResponse(HttpReply.text(BAD_REQUEST, e.getMessage() + "\n"));
             return;
         }
-        final Exchange exchange = new Exchange(services, request, this, this::exchangeOver);
-        current = Optional.of(exchange);
+        final Exchange exchange = new Exchange(services, request, this, this::onExchangeEnd);
+        currentExchange = Optional.of(exchange);
         exchange.start();
     }
 
-    private void exchangeOver() {
-        current = Optional.empty();
+    private void onExchangeEnd() {
+        currentExchange = Optional.empty();
         idleSinceNanos = services.nowNanos();
-        if (broken || !context.channel().isActive()) {
+        if (willClose || !context.channel().isActive()) {
             return;
         }
-        final FullHttpRequest next = waiting.pollFirst();
+        final FullHttpRequest next = pipelined.pollFirst();
         context.channel().config().setAutoRead(true);
         if (next != null) {
             context.executor().execute(() -> {
@@ -116,12 +118,12 @@
     }
 
     @Override
-    public void answer(HttpReply reply) {
+    public void writeResponse(HttpReply reply) {
         write(reply.toMessage());
     }
 
     @Override
-    public void answer(int status, HttpHeaders headers, byte[] body) {
+    public void writeResponse(int status, HttpHeaders headers, byte[] body) {
         final DefaultFullHttpResponse message = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
         message.headers().set(headers).set(HttpHeaderNames.CONTENT_LENGTH, body.length);
@@ -129,71 +131,71 @@
     }
 
     private void write(FullHttpResponse message) {
-        if (closesAfterAnswer()) {
+        if (closesAfterResponse()) {
             message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            Futures.unwatched(context.writeAndFlush(message).addListener(ChannelFutureListener.CLOSE));
+            NettyFutures.logFailure(context.writeAndFlush(message).addListener(ChannelFutureListener.CLOSE));
             return;
         }
-        Futures.unwatched(context.writeAndFlush(message));
+        NettyFutures.logFailure(context.writeAndFlush(message));
     }
 
     @Override
     public void beginStream(int status, HttpHeaders headers) {
         final HttpResponse message = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
         message.headers().set(headers).set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        if (closesAfterAnswer()) {
+        if (closesAfterResponse()) {
             keepAlive = false;
             message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        Futures.unwatched(context.write(message));
+        NettyFutures.logFailure(context.write(message));
     }
 
     @Override
     public void writeStream(byte[] bytes) {
-        Futures.unwatched(context.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes))));
+        NettyFutures.logFailure(context.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes))));
     }
 
     @Override
     public void endStream() {
         final var written = context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         if (!keepAlive) {
-            broken = true;
-            Futures.unwatched(written.addListener(ChannelFutureListener.CLOSE));
+            willClose = true;
+            NettyFutures.logFailure(written.addListener(ChannelFutureListener.CLOSE));
         }
     }
 
     @Override
-    public void breakOff() {
-        broken = true;
-        Futures.unwatched(context.close());
+    public void abort() {
+        willClose = true;
+        NettyFutures.logFailure(context.close());
     }
 
-    private boolean closesAfterAnswer() {
-        final boolean closes = !keepAlive || connections.areClosing();
-        broken = broken || closes;
+    private boolean closesAfterResponse() {
+        final boolean closes = !keepAlive || connections.isClosing();
+        willClose = willClose || closes;
         return closes;
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext changed) {
-        current.ifPresent(exchange -> exchange.callerReads(changed.channel().isWritable()));
+        currentExchange.ifPresent(exchange -> exchange.onCallerWritabilityChanged(changed.channel().isWritable()));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext closed) {
         connections.remove(this);
-        waiting.forEach(FullHttpRequest::release);
-        waiting.clear();
-        current.ifPresent(Exchange::callerLeft);
+        pipelined.forEach(FullHttpRequest::release);
+        pipelined.clear();
+        currentExchange.ifPresent(Exchange::onCallerDisconnected);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext failed, Throwable cause) {
-        Futures.unwatched(failed.close());
+        NettyFutures.logFailure(failed.close());
     }
 
     private void scheduleIdleCheck(long delayMs) {
-        Futures.unwatched(context.executor().schedule(this::checkIdle, delayMs, TimeUnit.MILLISECONDS));
+        NettyFutures.logFailure(context.executor().schedule(this::checkIdle, delayMs, TimeUnit.MILLISECONDS));
     }
 
     private void checkIdle() {
@@ -202,14 +204,14 @@
         }
         final long idleMs = TimeUnit.NANOSECONDS.toMillis(services.nowNanos() - idleSinceNanos);
         if (isIdle() && idleMs >= idleTimeoutMs()) {
-            Futures.unwatched(context.close());
+            NettyFutures.logFailure(context.close());
             return;
         }
         scheduleIdleCheck(isIdle() ? Math.max(1, idleTimeoutMs() - idleMs) : idleTimeoutMs());
     }
 
     private long idleTimeoutMs() {
-        return services.fleet()
+        return services.registry()
                 .view()
                 .configuration()
                 .map(PublishedConfiguration::limits)
--- a/src/main/java/org/wigeongrade/fleet/entry/CallerConnections.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/CallerConnections.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The open connections of callers. Used on the event loop only. */
+/** The open connections from callers. Used on the event loop only. */
 final class CallerConnections {
     private final Set<CallerConnection> open = new HashSet<>();
     private boolean closing;
@@ -17,12 +17,12 @@
         open.remove(connection);
     }
 
-    /** Ends each connection with its next answer. */
-    void closeWithNextAnswer() {
+    /** Closes each connection after its next response. */
+    void closeAfterNextResponse() {
         closing = true;
     }
 
-    boolean areClosing() {
+    boolean isClosing() {
         return closing;
     }
 
@@ -30,7 +30,7 @@
         ImmutableList.copyOf(open).forEach(CallerConnection::closeIfIdle);
     }
 
-    /** Returns the requests that are being served. */
+    /** Returns the number of requests that are being served. */
     int inFlight() {
         return (int) open.stream().filter(connection -> !connection.isIdle()).count();
     }
--- a/src/main/java/org/wigeongrade/fleet/entry/CallerRequest.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/CallerRequest.java
@@ -6,16 +6,16 @@
 import org.wigeongrade.decisions.log.Bytes;
 
 /**
- * One request of a caller, decoded. The headers are not changed after this; safe for use from any thread.
+ * A caller's decoded request. The headers are not modified after decoding; safe for use from any thread.
  *
- * @param attemptId id that the caller gave this attempt
+ * @param attemptId id that the caller gave this attempt of its request
  * @param target path with its query, as received
  * @param path path without its query
- * @param callerWaitsMs time that the caller waits for the answer; absent if it does not say
- * @param key key of an organisation
- * @param model model that is asked for; absent at plain services
- * @param lastEventId last event of a stream that the caller has
- * @param headers headers that may be passed on
+ * @param callerWaitsMs time that the caller waits for the response; absent if it did not state one
+ * @param key API key of an organisation
+ * @param model requested model; absent for services without models
+ * @param lastEventId id of the last event of a stream that the caller received
+ * @param headers headers that may be forwarded to the endpoint
  */
 public record CallerRequest(
         Optional<String> attemptId,
@@ -30,8 +30,8 @@
         OptionalLong lastEventId,
         HttpHeaders headers,
         Bytes body) {
-    /** Returns the id for logs. */
-    public String name() {
+    /** Returns the id that log events show for this request. */
+    public String logId() {
         return attemptId.orElse("-");
     }
 }
--- /dev/null
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointAttempt.java
@@ -0,0 +1,254 @@
+package org.wigeongrade.fleet.entry;
+
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.io.ByteArrayOutputStream;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import org.wigeongrade.decisions.balancing.EndpointLoad;
+import org.wigeongrade.decisions.balancing.EngineModel;
+import org.wigeongrade.logging.LogEvent;
+import org.wigeongrade.metrics.RetryReason;
+
+/**
+ * One attempt of an exchange at one endpoint. Used on the event loop only.
+ *
+ * <p>Invariant: reports its outcome to the exchange exactly once, unless it was cancelled.
+ */
+final class EndpointAttempt implements EndpointListener {
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
+    /** A stall check that runs this late shows that this process was paused, not that the endpoint stalled. */
+    private static final long LOCAL_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(80);
+    /** Fraction of the stall timeout for which the endpoint must not have responded to any request of this node. */
+    private static final double ENDPOINT_STALL_FRACTION = 0.8;
+    /** Minimum time between two stall checks, in milliseconds. */
+    private static final long MIN_CHECK_INTERVAL_MS = 20;
+
+    private final Exchange exchange;
+    private final EntryServices services;
+    private final EndpointLoad endpoint;
+    private final Optional<EngineModel> engine;
+    private final double predictedMs;
+    private final long startedNanos;
+    private final ServerSentEventSplitter eventSplitter = new ServerSentEventSplitter();
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    private Optional<AnswerHead> head = Optional.empty();
+    private Optional<ScheduledFuture<?>> stallCheck = Optional.empty();
+    private long stallCheckDueNanos;
+    private long lastProgressNanos;
+    private long lastEventNanos;
+    private int unreadTokens;
+    private int events;
+    EndpointCall call;
+
+    EndpointAttempt(Exchange exchange, EndpointLoad endpoint, Optional<EngineModel> engine, double predictedMs, long nowNanos) {
+        this.exchange = exchange;
+        this.services = exchange.services();
+        this.endpoint = endpoint;
+        this.engine = engine;
+        this.predictedMs = predictedMs;
+        this.startedNanos = nowNanos;
+        this.lastProgressNanos = nowNanos;
+    }
+
+    EndpointLoad endpoint() {
+        return endpoint;
+    }
+
+    void start(FullHttpRequest message, boolean retryable) {
+        unreadTokens = exchange.request().promptTokens();
+        endpoint.reads(unreadTokens);
+        call = new EndpointCall(exchange.request().attemptId(), message, this);
+        if (retryable) {
+            scheduleStallCheck(stallTimeoutMs());
+        }
+        services.connectionPool().send(endpoint, call, retryable);
+    }
+
+    /** Ends the attempt without reporting to the exchange. */
+    void cancel() {
+        stopTracking();
+        call.cancel();
+    }
+
+    @Override
+    public void onHead(AnswerHead received) {
+        recordProgress();
+        head = Optional.of(received);
+        final boolean unusable = received.isSuccess() && (!received.signed() || received.encoded());
+        if (unusable) {
+            rejectResponse("the response is not signed by the endpoint or its body was encoded in transit");
+        }
+    }
+
+    @Override
+    public void onBody(byte[] bytes) {
+        recordProgress();
+        if (!isStream()) {
+            body.writeBytes(bytes);
+            if (body.size() > MAX_RESPONSE_BYTES) {
+                rejectResponse("the response exceeds " + MAX_RESPONSE_BYTES + " bytes");
+            }
+            return;
+        }
+        for (final ServerSentEventSplitter.Event event : eventSplitter.accept(bytes)) {
+            recordEvent();
+            exchange.log().firstBytesSent();
+            exchange.stream().begin(head.orElseThrow(), exchange.responseWriter());
+            exchange.stream().relay(event, exchange.responseWriter());
+        }
+    }
+
+    @Override
+    public void onComplete() {
+        stopTracking();
+        final AnswerHead finishedHead = head.orElseThrow();
+        if (finishedHead.notRun()) {
+            endpoint.failed(services.nowNanos());
+            finishedHead.faultyVm().ifPresent(vm -> services.registry().recordFaultyVm(endpoint, vm));
+            exchange.onNotRun(this, RetryReason.ENDPOINT_REFUSED, "the endpoint responded with status " + finishedHead.status());
+        } else if (isStream()) {
+            finishStream();
+        } else {
+            finishResponse(finishedHead);
+        }
+    }
+
+    @Override
+    public void onNotSent(String cause, boolean connectionRefused) {
+        stopTracking();
+        if (connectionRefused) {
+            endpoint.refusedConnection(services.nowNanos());
+        } else {
+            endpoint.failed(services.nowNanos());
+        }
+        exchange.onNotRun(this, RetryReason.CONNECT_FAILED, cause);
+    }
+
+    @Override
+    public void onFailedAfterSend(String cause) {
+        stopTracking();
+        endpoint.failed(services.nowNanos());
+        services.registry().recordCrash(exchange.digest(), endpoint);
+        exchange.mayHaveRun(
+                this,
+                exchange.stream().hasBegun() ? RetryReason.STREAM_CUT_SHORT : RetryReason.ANSWER_CUT_SHORT,
+                cause);
+    }
+
+    private void finishStream() {
+        if (eventSplitter.hasPartialEvent()) {
+            endpoint.failed(services.nowNanos());
+            exchange.mayHaveRun(this, RetryReason.STREAM_CUT_SHORT, "the stream ended within an event");
+            return;
+        }
+        endpoint.succeeded();
+        exchange.log().firstBytesSent();
+        exchange.stream().begin(head.orElseThrow(), exchange.responseWriter());
+        exchange.onStreamEnd(this);
+    }
+
+    private void finishResponse(AnswerHead finishedHead) {
+        final BufferedResponse response = new BufferedResponse(finishedHead.status(), finishedHead.headers(), body.toByteArray());
+        if (finishedHead.isServerError()) {
+            endpoint.failed(services.nowNanos());
+            exchange.onErrorResponse(this, response);
+            return;
+        }
+        endpoint.succeeded();
+        endpoint.observed(elapsedMs(), predictedMs);
+        exchange.onResponse(this, response);
+    }
+
+    private void rejectResponse(String cause) {
+        services.events()
+                .write(
+                        LogEvent.ANSWER_REJECTED,
+                        endpoint.vm(),
+                        exchange.request().logId(),
+                        cause);
+        cancel();
+        endpoint.failed(services.nowNanos());
+        exchange.mayHaveRun(this, RetryReason.ANSWER_MISMATCHED, cause);
+    }
+
+    private boolean isStream() {
+        return exchange.route().kind().streams()
+                && head.filter(AnswerHead::isSuccess).isPresent();
+    }
+
+    private void recordProgress() {
+        lastProgressNanos = services.nowNanos();
+        endpoint.progressed(lastProgressNanos);
+    }
+
+    private void recordEvent() {
+        final long nowNanos = services.nowNanos();
+        if (events == 0) {
+            recordPromptRead();
+            endpoint.beganWriting();
+            engine.ifPresent(model -> model.observedFirst(elapsedMs(), predictedMs));
+        } else {
+            engine.ifPresent(
+                    model -> endpoint.observed((nowNanos - lastEventNanos) / 1e6, model.passMs(endpoint.running())));
+        }
+        lastEventNanos = nowNanos;
+        events++;
+    }
+
+    private double elapsedMs() {
+        return (services.nowNanos() - startedNanos) / 1e6;
+    }
+
+    private void recordPromptRead() {
+        endpoint.hasRead(unreadTokens);
+        unreadTokens = 0;
+    }
+
+    private void stopTracking() {
+        recordPromptRead();
+        if (events > 0) {
+            endpoint.endedWriting();
+        }
+        stallCheck.ifPresent(timer -> timer.cancel(false));
+        endpoint.ended(services.nowNanos());
+    }
+
+    private long stallTimeoutMs() {
+        return events == 0 ? StallTimeouts.firstBytesMs(predictedMs) : StallTimeouts.nextEventMs(exchange.route());
+    }
+
+    private void scheduleStallCheck(long delayMs) {
+        stallCheckDueNanos = services.nowNanos() + TimeUnit.MILLISECONDS.toNanos(delayMs);
+        stallCheck = Optional.of(services.loop().eventLoop().schedule(this::checkForStall, delayMs, TimeUnit.MILLISECONDS));
+    }
+
+    private void checkForStall() {
+        final long nowNanos = services.nowNanos();
+        if (nowNanos - stallCheckDueNanos > LOCAL_PAUSE_NANOS) {
+            lastProgressNanos = nowNanos;
+        }
+        final long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(stallTimeoutMs());
+        final long sinceProgressNanos = nowNanos - lastProgressNanos;
+        final boolean stalled =
+                sinceProgressNanos >= timeoutNanos && endpoint.stalledNanos(nowNanos) >= ENDPOINT_STALL_FRACTION * timeoutNanos;
+        if (stalled && exchange.tryReserveFailover()) {
+            failOver(TimeUnit.NANOSECONDS.toMillis(sinceProgressNanos));
+            return;
+        }
+        final long untilDueMs = TimeUnit.NANOSECONDS.toMillis(timeoutNanos - sinceProgressNanos);
+        scheduleStallCheck(Math.max(MIN_CHECK_INTERVAL_MS, untilDueMs));
+    }
+
+    private void failOver(long sinceProgressMs) {
+        final boolean sent = call.isSent();
+        cancel();
+        endpoint.failed(services.nowNanos());
+        final String cause = "no bytes received for " + sinceProgressMs + " ms";
+        if (sent) {
+            exchange.failOver(this, RetryReason.STREAM_STALLED, cause);
+        } else {
+            exchange.onNotRun(this, RetryReason.CONNECT_FAILED, cause);
+        }
+    }
+}
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointCall.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointCall.java
@@ -3,15 +3,15 @@
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.util.Optional;
-import org.wigeongrade.fleet.net.Futures;
+import org.wigeongrade.fleet.net.NettyFutures;
 
-/** One send to an endpoint, from its connection to the end of its answer. Used on the event loop only. */
+/** One request to an endpoint, from connecting to the end of the response. Used on the event loop only. */
 final class EndpointCall {
     private final Optional<String> attemptId;
     private final FullHttpRequest message;
     private final EndpointListener listener;
     private Optional<Channel> channel = Optional.empty();
-    private boolean over;
+    private boolean finished;
 
     EndpointCall(Optional<String> attemptId, FullHttpRequest message, EndpointListener listener) {
         this.attemptId = attemptId;
@@ -27,62 +27,62 @@
         return message;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isFinished() {
+        return finished;
     }
 
-    /** Returns whether the request was written, so that it may run. */
+    /** Returns whether the request was written, so that the endpoint may run it. */
     boolean isSent() {
         return channel.isPresent();
     }
 
-    void sentOn(Channel used) {
-        channel = Optional.of(used);
+    void markSent(Channel connection) {
+        channel = Optional.of(connection);
     }
 
-    /** Closes the connection, so that the endpoint drops the request; the listener hears nothing more. */
+    /** Closes the connection, so that the endpoint drops the request; the listener is not called any more. */
     void cancel() {
-        over = true;
-        channel.ifPresent(open -> Futures.unwatched(open.close()));
+        finished = true;
+        channel.ifPresent(open -> NettyFutures.logFailure(open.close()));
     }
 
-    /** Lets the endpoint send on, or holds it back while the caller does not read. */
-    void read(boolean on) {
-        if (!over) {
-            channel.ifPresent(open -> open.config().setAutoRead(on));
+    /** Resumes reading from the endpoint, or pauses it while the caller does not read (back pressure). */
+    void setReading(boolean enabled) {
+        if (!finished) {
+            channel.ifPresent(open -> open.config().setAutoRead(enabled));
         }
     }
 
-    void head(AnswerHead head) {
-        if (!over) {
+    void reportHead(AnswerHead head) {
+        if (!finished) {
             listener.onHead(head);
         }
     }
 
-    void body(byte[] bytes) {
-        if (!over) {
+    void reportBody(byte[] bytes) {
+        if (!finished) {
             listener.onBody(bytes);
         }
     }
 
-    void end() {
-        if (!over) {
-            over = true;
-            listener.onEnd();
+    void reportEnd() {
+        if (!finished) {
+            finished = true;
+            listener.onComplete();
         }
     }
 
-    void notSent(String cause, boolean refused) {
-        if (!over) {
-            over = true;
-            listener.onNotSent(cause, refused);
+    void reportNotSent(String cause, boolean connectionRefused) {
+        if (!finished) {
+            finished = true;
+            listener.onNotSent(cause, connectionRefused);
         }
     }
 
-    void broken(String cause) {
-        if (!over) {
-            over = true;
-            listener.onBroken(cause);
+    void reportFailedAfterSend(String cause) {
+        if (!finished) {
+            finished = true;
+            listener.onFailedAfterSend(cause);
         }
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointConnections.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointConnectionPool.java
@@ -21,40 +21,40 @@
 import java.util.function.LongSupplier;
 import org.wigeongrade.decisions.balancing.EndpointLoad;
 import org.wigeongrade.fleet.net.EventLoop;
-import org.wigeongrade.fleet.net.Futures;
+import org.wigeongrade.fleet.net.NettyFutures;
 import org.wigeongrade.ids.VmIncarnation;
 
 /**
- * Connections to endpoints, kept open between requests. Used on the event loop only.
+ * Pool of connections to endpoints that are kept open between requests. Used on the event loop only.
  *
- * <p>Invariants: a connection carries one request at a time; one that saw a failure, a cancelled request, an answer without
- * a length or bytes that nobody asked for is closed and never used again; a request that must not run twice gets a new
- * connection, so that it cannot meet one that the endpoint has closed.
+ * <p>Invariants: a connection carries one request at a time; a connection with a failure, a cancelled request, a
+ * response without a length or unsolicited bytes is closed and never reused; a request that must not run twice gets a
+ * new connection, so that it is never written to one that the endpoint has already closed.
  */
-final class EndpointConnections {
-    /** Longest wait for a connection, in milliseconds; endpoints are some milliseconds away. */
+final class EndpointConnectionPool {
+    /** Timeout for opening a connection, in milliseconds; the network delay to endpoints is a few milliseconds. */
     private static final int CONNECT_TIMEOUT_MS = 350;
-    /** A connection that was idle for longer is not used again, even if the endpoint would keep it. */
+    /** A connection that was idle for longer is not reused, even if the endpoint would keep it open. */
     private static final long MAX_IDLE_MS = 4_000;
-    /** Idle connections kept to one endpoint; a node seldom has more requests at one endpoint. */
+    /** Maximum of idle connections to one endpoint; a node seldom has more requests in flight at one endpoint. */
     private static final int MAX_IDLE_CONNECTIONS = 8;
 
-    private record Idle(Channel channel, long usableUntilNanos) {}
+    private record IdleConnection(Channel channel, long usableUntilNanos) {}
 
     private final EventLoop loop;
     private final CallerCodec codec;
     private final LongSupplier nanoClock;
-    private final Map<VmIncarnation, Deque<Idle>> idle = new HashMap<>();
+    private final Map<VmIncarnation, Deque<IdleConnection>> idleByVm = new HashMap<>();
 
-    EndpointConnections(EventLoop loop, CallerCodec codec, LongSupplier nanoClock) {
+    EndpointConnectionPool(EventLoop loop, CallerCodec codec, LongSupplier nanoClock) {
         this.loop = loop;
         this.codec = codec;
         this.nanoClock = nanoClock;
     }
 
-    /** Sends a request; {@code mayRepeat} tells whether it may use a connection that was used before. */
-    void send(EndpointLoad endpoint, EndpointCall call, boolean mayRepeat) {
-        final Optional<Channel> reused = mayRepeat ? takeIdle(endpoint.vm()) : Optional.empty();
+    /** Sends a request; {@code mayReuse} states whether an idle connection of an earlier request may be used. */
+    void send(EndpointLoad endpoint, EndpointCall call, boolean mayReuse) {
+        final Optional<Channel> reused = mayReuse ? takeIdle(endpoint.vm()) : Optional.empty();
         if (reused.isPresent()) {
             write(reused.get(), call);
             return;
@@ -66,11 +66,11 @@
                 return;
             }
             call.message().release();
-            call.notSent(String.valueOf(done.cause()), isRefusal(done.cause()));
+            call.reportNotSent(String.valueOf(done.cause()), isConnectionRefused(done.cause()));
         });
     }
 
-    private static boolean isRefusal(Throwable cause) {
+    private static boolean isConnectionRefused(Throwable cause) {
         return cause instanceof ConnectException
                 && String.valueOf(cause.getMessage()).contains("refused");
     }
@@ -87,48 +87,48 @@
                     protected void initChannel(SocketChannel child) {
                         child.pipeline()
                                 .addLast(new HttpClientCodec())
-                                .addLast(new EndpointChannel(
-                                        codec, (channel, idleMs) -> keep(endpoint.vm(), channel, idleMs)));
+                                .addLast(new EndpointResponseHandler(
+                                        codec, (channel, idleMs) -> release(endpoint.vm(), channel, idleMs)));
                     }
                 })
                 .connect(new InetSocketAddress(InetAddresses.forString(target.getHost()), target.getPort()));
     }
 
     private static void writeOrClose(Channel channel, EndpointCall call) {
-        if (call.isOver()) {
+        if (call.isFinished()) {
             call.message().release();
-            Futures.unwatched(channel.close());
+            NettyFutures.logFailure(channel.close());
             return;
         }
         write(channel, call);
     }
 
     private static void write(Channel channel, EndpointCall call) {
-        call.sentOn(channel);
-        channel.pipeline().get(EndpointChannel.class).begin(call);
-        Futures.unwatched(channel.writeAndFlush(call.message()));
+        call.markSent(channel);
+        channel.pipeline().get(EndpointResponseHandler.class).awaitResponse(call);
+        NettyFutures.logFailure(channel.writeAndFlush(call.message()));
     }
 
     private Optional<Channel> takeIdle(VmIncarnation vm) {
-        final Deque<Idle> connections = idle.getOrDefault(vm, new ArrayDeque<>());
+        final Deque<IdleConnection> connections = idleByVm.getOrDefault(vm, new ArrayDeque<>());
         final long nowNanos = nanoClock.getAsLong();
         while (!connections.isEmpty()) {
-            final Idle latest = connections.removeLast();
+            final IdleConnection latest = connections.removeLast();
             if (latest.channel().isActive() && nowNanos - latest.usableUntilNanos() < 0) {
                 return Optional.of(latest.channel());
             }
-            Futures.unwatched(latest.channel().close());
+            NettyFutures.logFailure(latest.channel().close());
         }
-        idle.remove(vm);
+        idleByVm.remove(vm);
         return Optional.empty();
     }
 
-    private void keep(VmIncarnation vm, Channel channel, long idleMs) {
-        final Deque<Idle> connections = idle.computeIfAbsent(vm, unused -> new ArrayDeque<>());
+    private void release(VmIncarnation vm, Channel channel, long idleMs) {
+        final Deque<IdleConnection> connections = idleByVm.computeIfAbsent(vm, unused -> new ArrayDeque<>());
         final long usableMs = Math.min(MAX_IDLE_MS, idleMs);
-        connections.addLast(new Idle(channel, nanoClock.getAsLong() + TimeUnit.MILLISECONDS.toNanos(usableMs)));
+        connections.addLast(new IdleConnection(channel, nanoClock.getAsLong() + TimeUnit.MILLISECONDS.toNanos(usableMs)));
         if (connections.size() > MAX_IDLE_CONNECTIONS) {
-            Futures.unwatched(connections.removeFirst().channel().close());
+            NettyFutures.logFailure(connections.removeFirst().channel().close());
         }
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointListener.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointListener.java
@@ -1,19 +1,24 @@
 package org.wigeongrade.fleet.entry;
 
-/** What becomes of one send to an endpoint; called on the event loop, nothing after an end or failure. */
+/**
+ * Receives the progress and outcome of one request to an endpoint. Called on the event loop, and not any more after the
+ * response is complete or the request failed.
+ */
 interface EndpointListener {
-    /** The head of the answer to this request came. */
+    /** Called when the status and headers of the response arrived. */
     void onHead(AnswerHead head);
 
-    /** Bytes of the body came. */
+    /** Called when bytes of the body arrived. */
     void onBody(byte[] bytes);
 
-    /** The answer is whole. */
-    void onEnd();
+    /** Called when the response is complete. */
+    void onComplete();
 
-    /** No connection was opened, so that the request did not run. */
-    void onNotSent(String cause, boolean refused);
+    /** Called when no connection could be opened, so that the request did not run. */
+    void onNotSent(String cause, boolean connectionRefused);
 
-    /** The connection failed after the request was sent, so that it may have run. */
-    void onBroken(String cause);
+    /**
+     * Called when the response or its connection failed after the request was sent, so that the request may have run.
+     */
+    void onFailedAfterSend(String cause);
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/Routables.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointLoadDecoder.java
@@ -9,9 +9,9 @@
 import org.wigeongrade.ids.VmIncarnation;
 import org.wigeongrade.ids.VmName;
 
-/** Makes endpoints of what the leader sends. Stateless. */
-final class Routables {
-    private Routables() {}
+/** Creates an {@link EndpointLoad} from the leader's record of an endpoint. Stateless. */
+final class EndpointLoadDecoder {
+    private EndpointLoadDecoder() {}
 
     static EndpointLoad decode(RoutableRecord record, long coldUntilNanos, long nowNanos) {
         return new EndpointLoad(
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointFleet.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointRegistry.java
@@ -23,16 +23,18 @@
 import org.wigeongrade.logging.LogEvent;
 
 /**
- * The endpoints of the latest view with what this node saw of each. Used on the event loop only.
+ * The endpoints of the latest view with the load and failures that this node observed at each. Used on the event loop
+ * only.
  *
- * <p>Invariant: an endpoint that left the view is kept while requests are in flight there, and gets no new ones.
+ * <p>Invariant: an endpoint that is no longer in the view is kept while it has requests in flight, but gets no new
+ * ones.
  */
-final class EndpointFleet {
-    /** Endpoints that were used within this time are reported to the leader. */
-    private static final long REPORTED_NANOS = TimeUnit.SECONDS.toNanos(1);
+final class EndpointRegistry {
+    /** Usage of endpoints that were active within this time is reported to the leader. */
+    private static final long ACTIVE_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** A report of other entry nodes that is older than this tells little of what they do now. */
-    private static final long STALE_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
+    /** If the view is older, the load that it reports for other entry nodes is outdated and replaced by an estimate. */
+    private static final long STALE_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
     private final EventLog events;
     private final Map<VmName, EndpointLoad> routable = new HashMap<>();
@@ -42,23 +44,23 @@
     private ImmutableMap<ModelVersionName, EngineModel> engines = ImmutableMap.of();
     private EntryView view;
 
-    EndpointFleet(EventLog events, long nowNanos) {
+    EndpointRegistry(EventLog events, long nowNanos) {
         this.events = events;
-        this.view = EntryView.nothing(nowNanos);
+        this.view = EntryView.empty(nowNanos);
     }
 
     EntryView view() {
         return view;
     }
 
-    /** Takes a newer view. */
+    /** Replaces the view with a newer one and updates the endpoints. */
     void apply(EntryView next, long nowNanos) {
         if (next.version() != view.version()) {
-            engines = next.configuration().map(EndpointFleet::enginesOf).orElse(ImmutableMap.of());
+            engines = next.configuration().map(EndpointRegistry::enginesOf).orElse(ImmutableMap.of());
         }
         if (next.term() != view.term() || next.changeNumber() != view.changeNumber()) {
             next.endpoints().forEach((vm, record) -> addOrUpdate(vm, record, nowNanos));
-            retireMissing(next);
+            retireRemoved(next);
         }
         routable.forEach((vm, load) -> load.elsewhere(
                 next.inFlightElsewhere().getOrDefault(vm.value(), 0),
@@ -67,10 +69,10 @@
         view = next;
     }
 
-    /** Returns the endpoints of a service, or of one of its models, in the zones that are in. */
+    /** Returns the endpoints of a service, or of one of its models, except those in zones that are out of service. */
     List<EndpointLoad> candidates(ServiceName service, Optional<ModelVersionName> model, long nowNanos) {
-        if (nowNanos - view.sentNanos() > STALE_NANOS) {
-            routable.values().forEach(this::estimateElsewhere);
+        if (nowNanos - view.pullSentNanos() > STALE_REPORT_NANOS) {
+            routable.values().forEach(this::estimateLoadOfOtherEntries);
         }
         return routable.values().stream()
                 .filter(load -> load.service().equals(service))
@@ -83,8 +85,11 @@
         return model.map(engines::get);
     }
 
-    /** Takes it that other entry nodes have as many requests at an endpoint as this one, at most those reported last. */
-    private void estimateElsewhere(EndpointLoad load) {
+    /**
+     * Estimates the load of the other entry nodes at an endpoint: each is assumed to have as much as this node, but the
+     * total does not exceed the last report.
+     */
+    private void estimateLoadOfOtherEntries(EndpointLoad load) {
         final int others = Math.max(0, view.entryNodes() - 1);
         final String vm = load.vm().vm().value();
         load.elsewhere(
@@ -92,37 +97,40 @@
                 Math.min(view.unreadTokensElsewhere().getOrDefault(vm, 0), others * load.ownUnreadTokens()));
     }
 
-    /** Takes the news that a request was in flight at an endpoint whose connection broke. */
-    void crashed(String requestDigest, EndpointLoad load) {
+    /** Records that a request was in flight at an endpoint when the connection failed. */
+    void recordCrash(String requestDigest, EndpointLoad load) {
         crashes.add(
                 new CrashRecord(requestDigest, load.vm().vm().value(), load.vm().incarnation()));
     }
 
-    /** Takes the news that an endpoint blamed a VM for its refusal. */
-    void blamed(EndpointLoad load, VmName faulty) {
+    /** Records the VM that an endpoint named as the cause of its refusal. */
+    void recordFaultyVm(EndpointLoad load, VmName faulty) {
         faultyVms.put(load.vm().vm(), faulty.value());
     }
 
-    /** Returns what happened at the endpoints of late, for the leader. */
-    ImmutableList<UsageRecord> takeUsage(long nowNanos) {
+    /**
+     * Returns the usage of recently active and of retired endpoints for the leader, and resets what is counted per
+     * report.
+     */
+    ImmutableList<UsageRecord> drainUsage(long nowNanos) {
         final ImmutableList.Builder<UsageRecord> usage = ImmutableList.builder();
         routable.values().stream()
-                .filter(load -> load.wasActiveWithin(REPORTED_NANOS, nowNanos))
+                .filter(load -> load.wasActiveWithin(ACTIVE_WINDOW_NANOS, nowNanos))
                 .forEach(load -> usage.add(usageOf(load, nowNanos)));
         retired.forEach(load -> usage.add(usageOf(load, nowNanos)));
         return usage.build();
     }
 
-    /** Returns the crashes since the last call. */
-    ImmutableList<CrashRecord> takeCrashes() {
-        final ImmutableList<CrashRecord> taken = ImmutableList.copyOf(crashes);
+    /** Returns and removes the crashes since the last call. */
+    ImmutableList<CrashRecord> drainCrashes() {
+        final ImmutableList<CrashRecord> drained = ImmutableList.copyOf(crashes);
         crashes.clear();
-        return taken;
+        return drained;
     }
 
-    /** Puts back crashes that the leader did not get. */
-    void returnCrashes(List<CrashRecord> untold) {
-        crashes.addAll(untold);
+    /** Puts back crashes whose report did not reach the leader. */
+    void restoreCrashes(List<CrashRecord> unreported) {
+        crashes.addAll(unreported);
     }
 
     private UsageRecord usageOf(EndpointLoad load, long nowNanos) {
@@ -148,7 +156,7 @@
         if (known != null) {
             retire(known);
         }
-        final EndpointLoad added = Routables.decode(record, coldUntilNanos, nowNanos);
+        final EndpointLoad added = EndpointLoadDecoder.decode(record, coldUntilNanos, nowNanos);
         added.suspected(record.isSuspect());
         routable.put(vm, added);
         events.write(
@@ -159,11 +167,11 @@
                 added.model().map(ModelVersionName::value).orElse("-"));
     }
 
-    private void retireMissing(EntryView next) {
-        final List<EndpointLoad> gone = routable.values().stream()
+    private void retireRemoved(EntryView next) {
+        final List<EndpointLoad> removed = routable.values().stream()
                 .filter(load -> !next.endpoints().containsKey(load.vm().vm()))
                 .toList();
-        gone.forEach(load -> {
+        removed.forEach(load -> {
             routable.remove(load.vm().vm());
             retire(load);
         });
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointChannel.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointResponseHandler.java
@@ -10,52 +10,52 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.Optional;
-import org.wigeongrade.fleet.net.Futures;
+import org.wigeongrade.fleet.net.NettyFutures;
 
 /**
- * Reads the answers on one connection to an endpoint. Used on the event loop only.
+ * Reads the responses on one connection to an endpoint. Used on the event loop only.
  *
- * <p>Invariant: an answer that names another request is skipped; what cannot be told apart from the awaited answer ends
- * the connection.
+ * <p>Invariant: a response that names another request is skipped; any unexpected data that cannot be told apart from
+ * the awaited response closes the connection.
  */
-final class EndpointChannel extends SimpleChannelInboundHandler<HttpObject> {
+final class EndpointResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
     private static final int FIRST_FINAL_STATUS = 200;
 
-    /** Takes a connection that may be used again. */
+    /** Receives a connection that may be reused. */
     @FunctionalInterface
-    interface Reuse {
-        void keep(Channel channel, long idleMs);
+    interface ConnectionReleaser {
+        void release(Channel channel, long idleMs);
     }
 
     private final CallerCodec codec;
-    private final Reuse reuse;
-    private Optional<EndpointCall> current = Optional.empty();
+    private final ConnectionReleaser releaser;
+    private Optional<EndpointCall> currentCall = Optional.empty();
     private Optional<AnswerHead> head = Optional.empty();
     private boolean skipping;
-    private boolean framed;
+    private boolean selfDelimited;
 
-    EndpointChannel(CallerCodec codec, Reuse reuse) {
+    EndpointResponseHandler(CallerCodec codec, ConnectionReleaser releaser) {
         this.codec = codec;
-        this.reuse = reuse;
+        this.releaser = releaser;
     }
 
-    /** Begins to wait for the answer to a request. */
-    void begin(EndpointCall call) {
-        current = Optional.of(call);
+    /** Starts waiting for the response to a request. */
+    void awaitResponse(EndpointCall call) {
+        currentCall = Optional.of(call);
         head = Optional.empty();
         skipping = false;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
-        if (current.isEmpty()) {
-            Futures.unwatched(context.close());
+        if (currentCall.isEmpty()) {
+            NettyFutures.logFailure(context.close());
             return;
         }
         if (message.decoderResult().isFailure()) {
             fail(
                     context,
-                    "the answer cannot be read: " + message.decoderResult().cause());
+                    "the response cannot be decoded: " + message.decoderResult().cause());
             return;
         }
         if (message instanceof HttpResponse response) {
@@ -71,18 +71,18 @@
             return;
         }
         final AnswerHead decoded = codec.decode(response);
-        final EndpointCall call = current.orElseThrow();
+        final EndpointCall call = currentCall.orElseThrow();
         skipping = decoded.attemptId().isPresent() && !decoded.attemptId().equals(call.attemptId());
         if (skipping) {
             return;
         }
         if (head.isPresent()) {
-            fail(context, "a second answer came");
+            fail(context, "a second response arrived");
             return;
         }
         head = Optional.of(decoded);
-        framed = HttpUtil.isTransferEncodingChunked(response) || HttpUtil.isContentLengthSet(response);
-        call.head(decoded);
+        selfDelimited = HttpUtil.isTransferEncodingChunked(response) || HttpUtil.isContentLengthSet(response);
+        call.reportHead(decoded);
     }
 
     private void readBody(ChannelHandlerContext context, HttpContent content) {
@@ -91,41 +91,41 @@
             skipping = !last;
             return;
         }
-        final EndpointCall call = current.orElseThrow();
+        final EndpointCall call = currentCall.orElseThrow();
         final ByteBuf bytes = content.content();
         if (bytes.isReadable()) {
             final byte[] copy = new byte[bytes.readableBytes()];
             bytes.readBytes(copy);
-            call.body(copy);
+            call.reportBody(copy);
         }
-        if (last && !call.isOver()) {
+        if (last && !call.isFinished()) {
             finish(context, call);
         }
     }
 
     private void finish(ChannelHandlerContext context, EndpointCall call) {
-        final AnswerHead answered = head.orElseThrow();
-        current = Optional.empty();
+        final AnswerHead finishedHead = head.orElseThrow();
+        currentCall = Optional.empty();
         head = Optional.empty();
-        if (framed && answered.reusableForMs().isPresent()) {
+        if (selfDelimited && finishedHead.reusableForMs().isPresent()) {
             context.channel().config().setAutoRead(true);
-            reuse.keep(context.channel(), answered.reusableForMs().getAsLong());
+            releaser.release(context.channel(), finishedHead.reusableForMs().getAsLong());
         } else {
-            Futures.unwatched(context.close());
+            NettyFutures.logFailure(context.close());
         }
-        call.end();
+        call.reportEnd();
     }
 
     private void fail(ChannelHandlerContext context, String cause) {
-        final Optional<EndpointCall> failed = current;
-        current = Optional.empty();
-        Futures.unwatched(context.close());
-        failed.ifPresent(call -> call.broken(cause));
+        final Optional<EndpointCall> failed = currentCall;
+        currentCall = Optional.empty();
+        NettyFutures.logFailure(context.close());
+        failed.ifPresent(call -> call.reportFailedAfterSend(cause));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        fail(context, "the endpoint closed the connection before its answer was whole");
+        fail(context, "the endpoint closed the connection before its response was complete");
     }
 
     @Override
--- a/src/main/java/org/wigeongrade/fleet/entry/EntryNode.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EntryNode.java
@@ -28,26 +28,35 @@
 import org.wigeongrade.settings.NodeAddress;
 
 /**
- * A process of the entry role.
+ * A process in the entry role: it forwards callers' requests to endpoints.
  *
- * <p>Invariant: a stop fails the readiness check first, goes on serving what arrives until the balancer has noticed, then
- * ends when nothing is in flight. Thread safe.
+ * <p>Invariant: a graceful stop first fails the readiness check, keeps serving new requests until the load balancer in
+ * front of the entry nodes has reacted, and then ends when no request is in flight. Thread safe.
  */
 public final class EntryNode {
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final int NOT_FOUND = 404;
     private static final int MAX_READINESS_BYTES = 1024;
-    /** Part of the time for which a key may still be used that a view may be old; the rest covers the way. */
-    private static final double KEYED_PART = 0.85;
-    /** Part of that time after which the node is not ready any more, so that callers go elsewhere before it refuses. */
-    private static final double READY_PART = 0.5;
-    /** The balancer asks once a second and acts on the second miss; then a second for connections on their way. */
-    private static final long NOTICED_MS = 3_000;
-    /** Idle connections are closed once the balancer has noticed. */
-    private static final long CLOSE_IDLE_MS = 2_300;
-    /** Part of the time to the kill in which requests may end. */
-    private static final double GRACE_PART = 0.9;
+    /**
+     * Requests with API keys are sent while the view is younger than this fraction of the time in which a key must be
+     * revoked; the rest covers the time in transit.
+     */
+    private static final double KEY_AGE_FRACTION = 0.85;
+    /**
+     * Fraction of that time after which the node is not ready, so that callers are sent elsewhere before it refuses
+     * them.
+     */
+    private static final double READY_AGE_FRACTION = 0.5;
+    /**
+     * The load balancer checks readiness once a second and acts on the second failure; the third second is for
+     * connections that are already being opened.
+     */
+    private static final long BALANCER_REACTION_MS = 3_000;
+    /** Idle connections are closed this long after the stop began, once the load balancer has reacted. */
+    private static final long CLOSE_IDLE_AFTER_MS = 2_300;
+    /** Fraction of the time before the process is killed in which requests may finish. */
+    private static final double GRACE_FRACTION = 0.9;
 
     private static final long STOP_POLL_MS = 50;
 
@@ -59,8 +68,8 @@
     private final EventLoop loop = new EventLoop();
     private final CallerConnections connections = new CallerConnections();
     private final ControlDirectory directory;
-    private final EndpointFleet fleet;
-    private final ViewClient views;
+    private final EndpointRegistry registry;
+    private final ViewPuller viewPuller;
     private final EntryServices services;
     private final AtomicBoolean stopRequested = new AtomicBoolean();
     private final CountDownLatch stopped = new CountDownLatch(1);
@@ -77,12 +86,12 @@
                 settings.fleetPort(),
                 settings.controlPort(),
                 settings.seeds().stream().map(NodeAddress::ip).toList());
-        this.fleet = new EndpointFleet(events, clock.getAsLong());
-        this.views = new ViewClient(
+        this.registry = new EndpointRegistry(events, clock.getAsLong());
+        this.viewPuller = new ViewPuller(
                 settings.name(),
                 settings.availabilityZone(),
                 directory,
-                fleet,
+                registry,
                 loop,
                 new ConfigurationCache(reader),
                 events,
@@ -92,24 +101,24 @@
                 settings.availabilityZone(),
                 loop,
                 codec,
-                fleet,
-                new EndpointConnections(loop, codec, clock),
+                registry,
+                new EndpointConnectionPool(loop, codec, clock),
                 new Balancer(random),
                 new RetryAllowance(
                         settings.number(FleetKey.RETRY_RATIO),
                         settings.number(FleetKey.RETRY_SLACK),
                         TimeUnit.MILLISECONDS.toNanos(settings.ms(FleetKey.RETRY_WINDOW_S))),
-                new ColdLimits(settings.number(FleetKey.COLD_BURST_FACTOR), settings.number(FleetKey.COLD_MARGIN)),
+                new ColdStartLimits(settings.number(FleetKey.COLD_BURST_FACTOR), settings.number(FleetKey.COLD_MARGIN)),
                 random,
                 events,
                 metrics,
                 clock,
-                revokeNanos(KEYED_PART));
+                revokeTimeNanos(KEY_AGE_FRACTION));
     }
 
-    /** Begins to serve. */
+    /** Starts serving callers, readiness checks and metrics. */
     public void start() {
-        views.start();
+        viewPuller.start();
         callerListener = HttpListener.open(
                 loop,
                 settings.callerListen().orElseThrow().toSocketAddress(),
@@ -120,7 +129,7 @@
                 settings.readinessListen().orElseThrow().toSocketAddress(),
                 CallerLimits.DEFAULT.maxHeaderBytes(),
                 pipeline -> pipeline.addLast(new HttpObjectAggregator(MAX_READINESS_BYTES))
-                        .addLast(new CallServer(call -> CompletableFuture.completedFuture(readiness(call)))));
+                        .addLast(new CallServer(call -> CompletableFuture.completedFuture(answerReadinessCheck(call)))));
         MetricsListener.open(loop, new InetSocketAddress(settings.bindIp(), settings.metricsPort()), metrics);
         events.write(
                 LogEvent.NODE_STARTED,
@@ -129,7 +138,7 @@
                 settings.callerListen().get());
     }
 
-    /** Begins a graceful stop and returns at once. */
+    /** Starts a graceful stop and returns immediately. */
     public void stop() {
         if (stopRequested.compareAndSet(false, true)) {
             new Thread(this::stopGracefully, "stop").start();
@@ -141,7 +150,7 @@
         stopped.await();
     }
 
-    /** Takes up seeds that the settings name now. */
+    /** Adds the seeds that the changed settings name. */
     public void reload(FleetSettings changed) {
         directory.learn(changed.seeds().stream().map(NodeAddress::ip).toList());
     }
@@ -151,40 +160,40 @@
                 .addLast(new CallerConnection(services, connections));
     }
 
-    private HttpReply readiness(CallServer.Call call) {
+    private HttpReply answerReadinessCheck(CallServer.Call call) {
         if (!codec.isReadinessCall(call.method(), call.path())) {
             return HttpReply.text(NOT_FOUND, "only the readiness check is served here\n");
         }
-        final boolean known = fleet.view().configuration().isPresent()
-                && clock.getAsLong() - fleet.view().sentNanos() < revokeNanos(READY_PART);
-        final boolean ready = known && !stopRequested.get();
+        final boolean viewIsFresh = registry.view().configuration().isPresent()
+                && clock.getAsLong() - registry.view().pullSentNanos() < revokeTimeNanos(READY_AGE_FRACTION);
+        final boolean ready = viewIsFresh && !stopRequested.get();
         return HttpReply.text(ready ? OK : UNAVAILABLE, ready ? "ready\n" : "not ready\n");
     }
 
-    private long revokeNanos(double part) {
-        return TimeUnit.MILLISECONDS.toNanos(Math.round(part * settings.ms(FleetKey.REVOKE_MS)));
+    private long revokeTimeNanos(double fraction) {
+        return TimeUnit.MILLISECONDS.toNanos(Math.round(fraction * settings.ms(FleetKey.REVOKE_MS)));
     }
 
     private void stopGracefully() {
         final long startNanos = System.nanoTime();
         events.write(LogEvent.NODE_STOPPING, settings.name(), "a signal", "-");
-        loop.loop().execute(connections::closeWithNextAnswer);
-        sleepUntil(startNanos, CLOSE_IDLE_MS);
-        loop.loop().execute(connections::closeIdle);
-        sleepUntil(startNanos, NOTICED_MS);
+        loop.eventLoop().execute(connections::closeAfterNextResponse);
+        sleepUntil(startNanos, CLOSE_IDLE_AFTER_MS);
+        loop.eventLoop().execute(connections::closeIdle);
+        sleepUntil(startNanos, BALANCER_REACTION_MS);
         callerListener.close();
-        final long graceMs = Math.round(GRACE_PART * settings.ms(FleetKey.GRACE_S));
-        while (inFlight() > 0 && elapsedMs(startNanos) < graceMs) {
+        final long graceMs = Math.round(GRACE_FRACTION * settings.ms(FleetKey.GRACE_S));
+        while (requestsInFlight() > 0 && elapsedMs(startNanos) < graceMs) {
             sleepUntil(System.nanoTime(), STOP_POLL_MS);
         }
-        views.close();
+        viewPuller.close();
         loop.close();
         events.write(LogEvent.NODE_STOPPED, settings.name(), elapsedMs(startNanos));
         stopped.countDown();
     }
 
-    private int inFlight() {
-        return CompletableFuture.supplyAsync(connections::inFlight, loop.loop()).join();
+    private int requestsInFlight() {
+        return CompletableFuture.supplyAsync(connections::inFlight, loop.eventLoop()).join();
     }
 
     private static long elapsedMs(long startNanos) {
--- a/src/main/java/org/wigeongrade/fleet/entry/EntryServices.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EntryServices.java
@@ -10,31 +10,31 @@
 import org.wigeongrade.metrics.Metrics;
 
 /**
- * What every exchange of one entry node uses. Used on the event loop only.
+ * Objects that all exchanges of an entry node share. Used on the event loop only.
  *
- * @param keyedNanos longest age of a view on which requests with keys are sent
+ * @param maxKeyAgeNanos maximum age of the view at which requests with API keys are sent
  */
 record EntryServices(
         AvailabilityZone zone,
         EventLoop loop,
         CallerCodec codec,
-        EndpointFleet fleet,
-        EndpointConnections connections,
+        EndpointRegistry registry,
+        EndpointConnectionPool connectionPool,
         Balancer balancer,
-        RetryAllowance allowance,
-        ColdLimits coldLimits,
+        RetryAllowance retryBudget,
+        ColdStartLimits coldStartLimits,
         RandomGenerator random,
         EventLog events,
         Metrics metrics,
         LongSupplier nanoClock,
-        long keyedNanos) {
+        long maxKeyAgeNanos) {
     long nowNanos() {
         return nanoClock.getAsLong();
     }
 
-    /** Returns whether the view is so new that no key in it can have been taken away for too long. */
+    /** Returns whether the view is so recent that no API key in it can have been revoked longer ago than allowed. */
     boolean keysAreFresh(long nowNanos) {
-        return fleet.view().configuration().isPresent()
-                && nowNanos - fleet.view().sentNanos() < keyedNanos;
+        return registry.view().configuration().isPresent()
+                && nowNanos - registry.view().pullSentNanos() < maxKeyAgeNanos;
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/EntryView.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EntryView.java
@@ -12,10 +12,10 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * What an entry node last learned from the leader. Immutable; safe for use from any thread.
+ * The state of the fleet that an entry node last pulled from the leader. Immutable; safe for use from any thread.
  *
- * @param sentNanos when the pull was sent; every change accepted before that is in the view
- * @param endpoints endpoints that requests may be sent to
+ * @param pullSentNanos when the pull was sent; every change that was accepted before is in the view
+ * @param endpoints endpoints that may receive requests
  */
 record EntryView(
         Optional<PublishedConfiguration> configuration,
@@ -27,7 +27,7 @@
         int entryNodes,
         long term,
         long changeNumber,
-        long sentNanos) {
+        long pullSentNanos) {
     EntryView {
         zonesOut = ImmutableSet.copyOf(zonesOut);
         endpoints = ImmutableMap.copyOf(endpoints);
@@ -36,7 +36,7 @@
         quarantined = ImmutableSet.copyOf(quarantined);
     }
 
-    static EntryView nothing(long nowNanos) {
+    static EntryView empty(long nowNanos) {
         return new EntryView(Optional.empty(), Set.of(), Map.of(), Map.of(), Map.of(), Set.of(), 1, 0, 0, nowNanos);
     }
 
@@ -44,18 +44,21 @@
         return configuration.map(PublishedConfiguration::version).orElse(0L);
     }
 
-    /** Returns the endpoints after a change; what a leader that is not settled leaves out may still serve. */
+    /**
+     * Returns the endpoints after a change. Unless {@code isComplete}, the known ones are kept: endpoints that are
+     * missing from the reply of a leader that is not settled yet may still serve.
+     */
     static ImmutableMap<VmName, RoutableRecord> merge(
-            Map<VmName, RoutableRecord> known, List<RoutableRecord> changed, List<String> removed, boolean replaces) {
+            Map<VmName, RoutableRecord> known, List<RoutableRecord> changed, List<String> removed, boolean isComplete) {
         final ImmutableMap.Builder<VmName, RoutableRecord> merged = ImmutableMap.builder();
-        if (!replaces) {
+        if (!isComplete) {
             merged.putAll(known);
         }
         changed.forEach(record -> merged.put(VmName.of(record.getVm()), record));
         final ImmutableMap<VmName, RoutableRecord> all = merged.buildKeepingLast();
-        final ImmutableSet<String> gone = ImmutableSet.copyOf(removed);
+        final ImmutableSet<String> removedVms = ImmutableSet.copyOf(removed);
         return all.entrySet().stream()
-                .filter(entry -> !gone.contains(entry.getKey().value()))
+                .filter(entry -> !removedVms.contains(entry.getKey().value()))
                 .collect(ImmutableMap.toImmutableMap(Map.Entry::getKey, Map.Entry::getValue));
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
@@ -22,103 +22,105 @@
 import org.wigeongrade.metrics.RetryReason;
 
 /**
- * One request of a caller, from its arrival to the end of its answer. Used on the event loop only.
+ * A caller's request and its response, with all attempts at endpoints. Used on the event loop only.
  *
- * <p>Invariants: a request that may have run is sent once more only if its route allows it; a refusal is given only if no
- * endpoint can have run the request; exactly one answer is given, unless the caller leaves before.
+ * <p>Invariants: a request that may have run is retried only if its route allows it; a request is refused only if no
+ * endpoint can have run it; exactly one response is written, unless the caller disconnects before.
  */
 final class Exchange {
-    /** Sends of one request at most, those that no endpoint ran included. */
-    private static final int MAX_SENDS = 4;
-    /** A node that has just started knows a leader by then, if the whole fleet starts: its longest election and a pull. */
-    private static final long STARTING_RETRY_MS = 1_500;
-    /** A send with less time left than this cannot be answered in time, in milliseconds. */
-    private static final long SHORTEST_SEND_MS = 5;
+    /** Maximum of attempts for one request, including those that no endpoint ran. */
+    private static final int MAX_ATTEMPTS = 4;
+    /** Retry-After of a node without a view: when the whole fleet starts, covers the longest election and one pull. */
+    private static final long STARTUP_RETRY_AFTER_MS = 1_500;
+    /** With less time left, in milliseconds, an attempt cannot complete before the deadline. */
+    private static final long MIN_ATTEMPT_MS = 5;
 
     private final EntryServices services;
     private final CallerRequest request;
-    private final CallerLink caller;
-    private final Runnable onOver;
+    private final ResponseWriter responseWriter;
+    private final Runnable onEnd;
     private final ExchangeLog log;
-    private final Set<VmName> tried = new HashSet<>();
+    private final Set<VmName> triedVms = new HashSet<>();
     private Optional<Route> route = Optional.empty();
     private Optional<OrganisationName> organisation = Optional.empty();
     private Optional<PublishedService> service = Optional.empty();
-    private Optional<Send> current = Optional.empty();
+    private Optional<EndpointAttempt> currentAttempt = Optional.empty();
     private Optional<ScheduledFuture<?>> deadlineTimer = Optional.empty();
     private final RelayedStream stream = new RelayedStream();
-    private Optional<WholeAnswer> failedAnswer = Optional.empty();
+    private Optional<BufferedResponse> errorResponse = Optional.empty();
     private long deadlineNanos;
-    private int sends;
+    private int attempts;
+    /** Number of failed attempts whose request an endpoint may have run. */
     private int mayHaveRun;
-    private boolean over;
 
-    Exchange(EntryServices services, CallerRequest request, CallerLink caller, Runnable onOver) {
+    private boolean ended;
+
+    Exchange(EntryServices services, CallerRequest request, ResponseWriter responseWriter, Runnable onEnd) {
         this.services = services;
         this.request = request;
-        this.caller = caller;
-        this.onOver = onOver;
+        this.responseWriter = responseWriter;
+        this.onEnd = onEnd;
         this.log = new ExchangeLog(services, request);
     }
 
-    /** Routes and sends the request, or refuses it. */
+    /** Routes and sends the request, or responds with an error. */
     void start() {
-        services.allowance().requested(log.arrivedNanos());
+        services.retryBudget().requested(log.arrivedNanos());
         final Optional<PublishedConfiguration> configuration =
-                services.fleet().view().configuration();
+                services.registry().view().configuration();
         if (configuration.isEmpty()) {
-            refuse(ErrorKind.NO_VIEW_LEASE, "no configuration is known yet", STARTING_RETRY_MS);
+            refuse(ErrorKind.NO_VIEW_LEASE, "no configuration has been received yet", STARTUP_RETRY_AFTER_MS);
             return;
         }
         route = configuration.get().route(request.hostname(), request.path());
         if (route.isEmpty()) {
-            fail(ErrorKind.NOT_FOUND, "no route of host " + request.hostname() + " begins the path");
+            fail(ErrorKind.NOT_FOUND, "no route of host " + request.hostname() + " matches the path");
             return;
         }
         setDeadline(route.get());
-        if (identify(configuration.get(), route.get())) {
+        if (authenticate(configuration.get(), route.get())) {
             final ServiceName target = route.get().targetAt(services.random().nextDouble());
             service = configuration.get().service(target);
             send();
         }
     }
 
-    /** Takes the news that the caller has left. */
-    void callerLeft() {
-        if (!over) {
-            current.ifPresent(Send::cancel);
+    /** Cancels the request after the caller disconnected. */
+    void onCallerDisconnected() {
+        if (!ended) {
+            currentAttempt.ifPresent(EndpointAttempt::cancel);
             log.cancelled();
             end();
         }
     }
 
-    /** Takes the news of whether the caller reads what is written. */
-    void callerReads(boolean reads) {
-        current.ifPresent(send -> send.call.read(reads));
+    /** Pauses reading from the endpoint while the caller's connection is not writable. */
+    void onCallerWritabilityChanged(boolean writable) {
+        currentAttempt.ifPresent(attempt -> attempt.call.setReading(writable));
     }
 
-    private void setDeadline(Route known) {
-        final long waitMs = Math.min(known.timeoutMs(), request.callerWaitsMs().orElse(known.timeoutMs()));
+    private void setDeadline(Route matched) {
+        final long waitMs = Math.min(matched.timeoutMs(), request.callerWaitsMs().orElse(matched.timeoutMs()));
         deadlineNanos = log.arrivedNanos() + TimeUnit.MILLISECONDS.toNanos(waitMs);
         deadlineTimer =
-                Optional.of(services.loop().loop().schedule(this::deadlinePassed, waitMs, TimeUnit.MILLISECONDS));
+                Optional.of(services.loop().eventLoop().schedule(this::onDeadline, waitMs, TimeUnit.MILLISECONDS));
     }
 
-    /** Finds the organisation of the request's key; refuses the request and returns false if there is none. */
-    private boolean identify(PublishedConfiguration configuration, Route known) {
-        if (known.anonymous() || !configuration.requiresKeys()) {
+    /** Finds the organisation of the request's API key; responds with an error and returns false if there is none. */
+    private boolean authenticate(PublishedConfiguration configuration, Route matched) {
+        if (matched.anonymous() || !configuration.requiresKeys()) {
             return true;
         }
         if (!services.keysAreFresh(log.arrivedNanos())) {
             refuse(
                     ErrorKind.NO_VIEW_LEASE,
-                    "the keys known here are too old, version " + configuration.version(),
+                    "the view with the API keys is too old, configuration version " + configuration.version(),
                     ErrorKind.STOPPING.retryAfterMs());
             return false;
         }
         organisation = request.key().flatMap(configuration::organisationOf);
         if (organisation.isEmpty()) {
-            fail(ErrorKind.UNAUTHENTICATED, "the key is not that of an organisation");
+            fail(ErrorKind.UNAUTHENTICATED, "the API key does not belong to an organisation");
         }
         return organisation.isPresent();
     }
@@ -126,42 +128,44 @@
     private void send() {
         final long nowNanos = services.nowNanos();
         final long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - nowNanos);
-        if (remainingMs < SHORTEST_SEND_MS) {
-            deadlinePassed();
+        if (remainingMs < MIN_ATTEMPT_MS) {
+            onDeadline();
             return;
         }
         if (isQuarantined()) {
-            giveUp(
+            failOrRefuse(
                     ErrorKind.SUSPECT_WAITING,
                     "this request has crashed endpoints",
                     ErrorKind.SUSPECT_WAITING.retryAfterMs());
             return;
         }
-        if (!hasUsableKey(nowNanos)) {
-            giveUp(ErrorKind.NO_VIEW_LEASE, "the keys known here are too old", ErrorKind.STOPPING.retryAfterMs());
+        if (!isKeyFresh(nowNanos)) {
+            failOrRefuse(ErrorKind.NO_VIEW_LEASE, "the view with the API keys is too old", ErrorKind.STOPPING.retryAfterMs());
             return;
         }
         final Placement placement = place(mayHaveRun > 0, remainingMs, nowNanos);
         if (placement.endpoint().isEmpty()) {
             final boolean busy = placement.refusal().equals(Optional.of(Placement.Refusal.ALL_BUSY));
-            giveUp(
+            failOrRefuse(
                     busy ? ErrorKind.NO_FREE_SLOT : ErrorKind.NO_WHOLE_GROUP,
-                    (busy ? "busy: " : "none: ") + placement.candidates() + " endpoints of "
+                    (busy ? "no free slot at any of " : "no usable endpoint among ") + placement.candidates() + " endpoints of "
                             + service.orElseThrow().name() + " for "
-                            + model().map(ModelVersionName::value).orElse("any request"),
+                            + model().map(ModelVersionName::value).orElse("requests without a model"),
                     placement.retryAfterMs());
             return;
         }
         sendTo(placement, remainingMs, nowNanos);
     }
 
-    /** Returns whether the request needs no key, or its key is known by a view that is young enough. */
-    private boolean hasUsableKey(long nowNanos) {
+    /** Returns whether the request has no organisation, or the view that confirmed its API key is recent enough. */
+    private boolean isKeyFresh(long nowNanos) {
         return organisation.isEmpty() || services.keysAreFresh(nowNanos);
     }
 
-    /** Chooses where the request goes; {@code begun} tells whether giving it up would waste work. */
-    private Placement place(boolean begun, long remainingMs, long nowNanos) {
+    /**
+     * Chooses an endpoint; {@code mayHaveStarted} states whether failing the request now would waste work already done.
+     */
+    private Placement place(boolean mayHaveStarted, long remainingMs, long nowNanos) {
         final PublishedService target = service.orElseThrow();
         final Optional<ModelVersionName> model = model();
         return services.balancer()
@@ -171,34 +175,34 @@
                                 route.orElseThrow().targetLatencyMs(),
                                 route.get().targetPauseMs(),
                                 remainingMs,
-                                ImmutableSet.copyOf(tried),
-                                begun,
+                                ImmutableSet.copyOf(triedVms),
+                                mayHaveStarted,
                                 services.zone()),
-                        services.fleet().candidates(target.name(), model, nowNanos),
-                        services.fleet().engine(model),
-                        services.coldLimits()
-                                .limitsFor(target, services.fleet().view().entryNodes()),
+                        services.registry().candidates(target.name(), model, nowNanos),
+                        services.registry().engine(model),
+                        services.coldStartLimits()
+                                .limitsFor(target, services.registry().view().entryNodes()),
                         nowNanos);
     }
 
     private void sendTo(Placement placement, long remainingMs, long nowNanos) {
         final EndpointLoad endpoint = placement.endpoint().orElseThrow();
-        sends++;
-        tried.add(endpoint.vm().vm());
+        attempts++;
+        triedVms.add(endpoint.vm().vm());
         log.sent(organisation, route.orElseThrow().name(), placement, remainingMs);
-        final Send send = new Send(this, endpoint, services.fleet().engine(model()), placement.predictedMs(), nowNanos);
-        current = Optional.of(send);
+        final EndpointAttempt attempt = new EndpointAttempt(this, endpoint, services.registry().engine(model()), placement.predictedMs(), nowNanos);
+        currentAttempt = Optional.of(attempt);
         endpoint.sent(nowNanos);
-        final SendTerms terms =
+        final SendTerms metadata =
                 new SendTerms(remainingMs, endpoint.vm().vm(), organisation, stream.resumeAfter(request));
-        send.start(
-                services.codec().encode(request, terms, endpoint.address()),
+        attempt.start(
+                services.codec().encode(request, metadata, endpoint.address()),
                 route.get().mayRepeat());
     }
 
     private Optional<ModelVersionName> model() {
-        final boolean grouped = service.flatMap(PublishedService::engine).isPresent();
-        return grouped ? request.model().filter(name -> !name.isBlank()).map(Exchange::modelName) : Optional.empty();
+        final boolean servesModels = service.flatMap(PublishedService::engine).isPresent();
+        return servesModels ? request.model().filter(name -> !name.isBlank()).map(Exchange::modelName) : Optional.empty();
     }
 
     private static ModelVersionName modelName(String text) {
@@ -210,11 +214,11 @@
     }
 
     private boolean isQuarantined() {
-        final Set<String> quarantined = services.fleet().view().quarantined();
+        final Set<String> quarantined = services.registry().view().quarantined();
         return !quarantined.isEmpty() && quarantined.contains(digest());
     }
 
-    /** Returns what is the same each time that a caller sends this request. */
+    /** Returns a hash of the request that is the same each time a caller sends it. */
     String digest() {
         return Hashing.murmur3_128()
                 .newHasher()
@@ -242,74 +246,77 @@
         return stream;
     }
 
-    CallerLink caller() {
-        return caller;
+    ResponseWriter responseWriter() {
+        return responseWriter;
     }
 
     ExchangeLog log() {
         return log;
     }
 
-    /** Takes the news that the endpoint did not run the request. */
-    void notRun(Send send, RetryReason reason, String cause) {
-        current = Optional.empty();
-        if (sends >= MAX_SENDS) {
-            giveUp(ErrorKind.ENDPOINT_REFUSED, cause, ErrorKind.ENDPOINT_REFUSED.retryAfterMs());
+    /** Handles an attempt whose request the endpoint did not run: retries the request or ends it with an error. */
+    void onNotRun(EndpointAttempt attempt, RetryReason reason, String cause) {
+        currentAttempt = Optional.empty();
+        if (attempts >= MAX_ATTEMPTS) {
+            failOrRefuse(ErrorKind.ENDPOINT_REFUSED, cause, ErrorKind.ENDPOINT_REFUSED.retryAfterMs());
             return;
         }
-        if (reason == RetryReason.ENDPOINT_REFUSED && !mayRepeatNow()) {
-            giveUp(ErrorKind.RETRY_BUDGET_SPENT, cause, ErrorKind.ENDPOINT_REFUSED.retryAfterMs());
+        if (reason == RetryReason.ENDPOINT_REFUSED && !tryReserveRetry()) {
+            failOrRefuse(ErrorKind.RETRY_BUDGET_SPENT, cause, ErrorKind.ENDPOINT_REFUSED.retryAfterMs());
             return;
         }
-        retry(send, reason, cause);
+        retry(attempt, reason, cause);
     }
 
-    /** Takes the news that the endpoint may have run the request and gave no whole answer. */
-    void mayHaveRun(Send send, RetryReason reason, String cause) {
-        current = Optional.empty();
+    /** Handles an attempt that ended without a complete response, although the endpoint may have run the request. */
+    void mayHaveRun(EndpointAttempt attempt, RetryReason reason, String cause) {
+        currentAttempt = Optional.empty();
         mayHaveRun++;
-        final boolean repeatable = route.orElseThrow().mayRepeat()
+        final boolean retryable = route.orElseThrow().mayRepeat()
                 && mayHaveRun < route.get().maxAttempts()
-                && sends < MAX_SENDS
+                && attempts < MAX_ATTEMPTS
                 && stream.isResumable();
-        if (repeatable && mayRepeatNow()) {
-            retry(send, reason, cause);
+        if (retryable && tryReserveRetry()) {
+            retry(attempt, reason, cause);
             return;
         }
-        giveUp(route.get().mayRepeat() ? ErrorKind.ENDPOINT_FAILED : ErrorKind.OUTCOME_UNKNOWN, cause, 0);
+        failOrRefuse(route.get().mayRepeat() ? ErrorKind.ENDPOINT_FAILED : ErrorKind.OUTCOME_UNKNOWN, cause, 0);
     }
 
-    /** Takes a whole answer of an endpoint that failed; it is passed on if no other endpoint does better. */
-    void answeredWithFailure(Send send, WholeAnswer answer) {
-        failedAnswer = Optional.of(answer);
-        mayHaveRun(send, RetryReason.ENDPOINT_FAILED, "the endpoint answered " + answer.status());
+    /** Handles a complete error response of an endpoint; it is forwarded to the caller if no retry succeeds. */
+    void onErrorResponse(EndpointAttempt attempt, BufferedResponse response) {
+        errorResponse = Optional.of(response);
+        mayHaveRun(attempt, RetryReason.ENDPOINT_FAILED, "the endpoint responded with status " + response.status());
     }
 
     /**
-     * Returns whether another endpoint may take the request over from one that stands still; counts the send if so.
-     * {@link #movedFrom} must follow.
+     * Returns whether the request may fail over from a stalled endpoint to another one; if so, counts a retry.
+     * The caller must then call {@link #failOver}.
      */
-    boolean tryMove() {
-        return canMove() && mayRepeatNow();
+    boolean tryReserveFailover() {
+        return canFailOver() && tryReserveRetry();
     }
 
-    /** Sends the request to another endpoint after {@link #tryMove}. */
-    void movedFrom(Send send, RetryReason reason, String cause) {
-        current = Optional.empty();
+    /** Sends the request to another endpoint after {@link #tryReserveFailover}. */
+    void failOver(EndpointAttempt attempt, RetryReason reason, String cause) {
+        currentAttempt = Optional.empty();
         mayHaveRun++;
-        retry(send, reason, cause);
+        retry(attempt, reason, cause);
     }
 
-    /** A request that stands still moves only if another endpoint takes it for sure; it may yet go on where it is. */
-    private boolean canMove() {
+    /**
+     * Returns whether the request can fail over. It does so only if another endpoint can take it now, since the stalled
+     * one may still continue.
+     */
+    private boolean canFailOver() {
         final long nowNanos = services.nowNanos();
         final long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - nowNanos);
         return route.orElseThrow().mayRepeat()
                 && mayHaveRun + 1 < route.get().maxAttempts()
-                && sends < MAX_SENDS
-                && remainingMs >= SHORTEST_SEND_MS
+                && attempts < MAX_ATTEMPTS
+                && remainingMs >= MIN_ATTEMPT_MS
                 && stream.isResumable()
-                && hasUsableKey(nowNanos)
+                && isKeyFresh(nowNanos)
                 && !isQuarantined()
                 && place(true, remainingMs, nowNanos)
                         .endpoint()
@@ -317,90 +324,90 @@
                         .isPresent();
     }
 
-    private boolean mayRepeatNow() {
-        return services.allowance().tryRepeat(services.fleet().view().entryNodes(), services.nowNanos());
+    private boolean tryReserveRetry() {
+        return services.retryBudget().tryRepeat(services.registry().view().entryNodes(), services.nowNanos());
     }
 
-    private void retry(Send send, RetryReason reason, String cause) {
-        log.retried(send.endpoint(), reason, cause, stream.hasBegun());
+    private void retry(EndpointAttempt attempt, RetryReason reason, String cause) {
+        log.retried(attempt.endpoint(), reason, cause, stream.hasBegun());
         send();
     }
 
-    /** Passes a whole answer on. */
-    void answered(Send send, WholeAnswer answer) {
-        current = Optional.empty();
-        log.firstBytes();
-        caller.answer(answer.status(), answer.headers(), answer.body());
-        log.answered(send.endpoint(), answer.status(), sends, 0);
+    /** Forwards a complete response to the caller. */
+    void onResponse(EndpointAttempt attempt, BufferedResponse response) {
+        currentAttempt = Optional.empty();
+        log.firstBytesSent();
+        responseWriter.writeResponse(response.status(), response.headers(), response.body());
+        log.responded(attempt.endpoint(), response.status(), attempts, 0);
         end();
     }
 
-    /** Ends a stream whose last event was passed on. */
-    void streamed(Send send) {
-        current = Optional.empty();
-        caller.endStream();
-        log.answered(send.endpoint(), stream.status(), sends, stream.events());
+    /** Ends a stream whose last event was forwarded. */
+    void onStreamEnd(EndpointAttempt attempt) {
+        currentAttempt = Optional.empty();
+        responseWriter.endStream();
+        log.responded(attempt.endpoint(), stream.status(), attempts, stream.events());
         end();
     }
 
-    private void deadlinePassed() {
-        if (over) {
+    private void onDeadline() {
+        if (ended) {
             return;
         }
-        current.ifPresent(Send::cancel);
-        final boolean sent = mayHaveRun > 0 || current.isPresent();
-        current = Optional.empty();
+        currentAttempt.ifPresent(EndpointAttempt::cancel);
+        final boolean sent = mayHaveRun > 0 || currentAttempt.isPresent();
+        currentAttempt = Optional.empty();
         if (sent) {
-            giveUpAsMayHaveRun(ErrorKind.ENDPOINT_TIMEOUT, "the deadline passed", 0);
+            fail(ErrorKind.ENDPOINT_TIMEOUT, "the deadline passed", 0);
         } else {
             refuse(ErrorKind.NO_FREE_SLOT, "the deadline passed before the request was sent", 0);
         }
     }
 
-    private void giveUp(ErrorKind kind, String cause, long retryAfterMs) {
+    private void failOrRefuse(ErrorKind kind, String cause, long retryAfterMs) {
         if (mayHaveRun > 0) {
-            giveUpAsMayHaveRun(
+            fail(
                     route.orElseThrow().mayRepeat() ? ErrorKind.ENDPOINT_FAILED : ErrorKind.OUTCOME_UNKNOWN,
                     kind.code() + ", " + cause,
                     0);
             return;
         }
         if (stream.hasBegun() || kind.httpStatus() != ErrorKind.NO_FREE_SLOT.httpStatus()) {
-            giveUpAsMayHaveRun(kind, cause, retryAfterMs);
+            fail(kind, cause, retryAfterMs);
             return;
         }
         refuse(kind, cause, retryAfterMs);
     }
 
-    private void giveUpAsMayHaveRun(ErrorKind kind, String cause, long retryAfterMs) {
+    private void fail(ErrorKind kind, String cause, long retryAfterMs) {
         if (stream.hasBegun()) {
             log.failed(kind, cause);
-            caller.breakOff();
-        } else if (failedAnswer.isPresent()) {
-            final WholeAnswer answer = failedAnswer.get();
-            log.failedAtEndpoint(answer.status(), cause);
-            caller.answer(answer.status(), answer.headers(), answer.body());
+            responseWriter.abort();
+        } else if (errorResponse.isPresent()) {
+            final BufferedResponse response = errorResponse.get();
+            log.failedAtEndpoint(response.status(), cause);
+            responseWriter.writeResponse(response.status(), response.headers(), response.body());
         } else {
             log.failed(kind, cause);
-            caller.answer(services.codec().error(request, kind, cause, retryAfterMs));
+            responseWriter.writeResponse(services.codec().error(request, kind, cause, retryAfterMs));
         }
         end();
     }
 
     private void fail(ErrorKind kind, String cause) {
-        giveUpAsMayHaveRun(kind, cause, 0);
+        fail(kind, cause, 0);
     }
 
-    /** Answers that the request has not run; the caller may come back after the time. */
+    /** Responds that the request did not run and when the caller may retry it. */
     private void refuse(ErrorKind kind, String cause, long retryAfterMs) {
         log.refused(organisation, kind, cause, retryAfterMs);
-        caller.answer(services.codec().error(request, kind, cause, retryAfterMs));
+        responseWriter.writeResponse(services.codec().error(request, kind, cause, retryAfterMs));
         end();
     }
 
     private void end() {
-        over = true;
+        ended = true;
         deadlineTimer.ifPresent(timer -> timer.cancel(false));
-        onOver.run();
+        onEnd.run();
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/ExchangeLog.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/ExchangeLog.java
@@ -11,18 +11,18 @@
 import org.wigeongrade.metrics.RequestOutcome;
 import org.wigeongrade.metrics.RetryReason;
 
-/** Writes what was decided about one request, and counts it. Used on the event loop only. */
+/** Writes the log events and metrics of one request. Used on the event loop only. */
 final class ExchangeLog {
     private static final String ABSENT = "-";
 
     private final EntryServices services;
-    private final String request;
+    private final String requestLogId;
     private final long arrivedNanos;
     private long firstBytesNanos;
 
     ExchangeLog(EntryServices services, CallerRequest request) {
         this.services = services;
-        this.request = request.name();
+        this.requestLogId = request.logId();
         this.arrivedNanos = services.nowNanos();
         services.metrics().requestArrived();
     }
@@ -40,7 +40,7 @@
         services.events()
                 .write(
                         LogEvent.REQUEST_SENT,
-                        request,
+                        requestLogId,
                         organisation.map(OrganisationName::value).orElse(ABSENT),
                         route,
                         endpoint.vm(),
@@ -48,7 +48,7 @@
                         Math.round(placement.predictedMs()),
                         placement.candidates(),
                         viewAgeMs(),
-                        services.fleet().view().version(),
+                        services.registry().view().version(),
                         remainingMs);
     }
 
@@ -57,28 +57,28 @@
         services.events()
                 .write(
                         resumed ? LogEvent.STREAM_RESUMED : LogEvent.REQUEST_RETRIED,
-                        request,
+                        requestLogId,
                         "after " + endpoint.vm(),
                         reason.code() + ", " + cause);
     }
 
-    void firstBytes() {
+    void firstBytesSent() {
         if (firstBytesNanos == 0) {
             firstBytesNanos = services.nowNanos();
             services.metrics().firstByteSent(firstBytesNanos - arrivedNanos);
         }
     }
 
-    void answered(EndpointLoad endpoint, int status, int sends, int events) {
+    void responded(EndpointLoad endpoint, int status, int attempts, int events) {
         services.events()
                 .write(
                         LogEvent.REQUEST_ANSWERED,
-                        request,
+                        requestLogId,
                         status,
                         endpoint.vm(),
                         TimeUnit.NANOSECONDS.toMillis(firstBytesNanos - arrivedNanos),
                         elapsedMs(),
-                        sends,
+                        attempts,
                         events);
         ended(RequestOutcome.COMPLETED);
     }
@@ -87,7 +87,7 @@
         services.events()
                 .write(
                         LogEvent.REQUEST_REFUSED,
-                        request,
+                        requestLogId,
                         organisation.map(OrganisationName::value).orElse(ABSENT),
                         kind.code(),
                         cause + "; after " + elapsedMs() + " ms, view " + viewAgeMs() + " ms old, retry after "
@@ -97,25 +97,25 @@
     }
 
     void failed(ErrorKind kind, String cause) {
-        services.events().write(LogEvent.REQUEST_FAILED, request, kind.code(), elapsedMs(), cause);
+        services.events().write(LogEvent.REQUEST_FAILED, requestLogId, kind.code(), elapsedMs(), cause);
         services.metrics().refused(kind);
         ended(RequestOutcome.FAILED);
     }
 
-    /** The endpoint's own failure was passed on. */
+    /** Logs that the error response of an endpoint was forwarded to the caller. */
     void failedAtEndpoint(int status, String cause) {
-        services.events().write(LogEvent.REQUEST_FAILED, request, status, elapsedMs(), cause);
+        services.events().write(LogEvent.REQUEST_FAILED, requestLogId, status, elapsedMs(), cause);
         ended(RequestOutcome.FAILED);
     }
 
     void cancelled() {
-        services.events().write(LogEvent.REQUEST_CANCELLED, request, elapsedMs());
+        services.events().write(LogEvent.REQUEST_CANCELLED, requestLogId, elapsedMs());
         ended(RequestOutcome.CANCELLED);
     }
 
     private long viewAgeMs() {
         return TimeUnit.NANOSECONDS.toMillis(
-                services.nowNanos() - services.fleet().view().sentNanos());
+                services.nowNanos() - services.registry().view().pullSentNanos());
     }
 
     private void ended(RequestOutcome outcome) {
--- a/src/main/java/org/wigeongrade/fleet/entry/RelayedStream.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/RelayedStream.java
@@ -4,9 +4,10 @@
 import java.util.OptionalLong;
 
 /**
- * What was passed on of one stream, over all endpoints that took part in it. Used on the event loop only.
+ * The part of a stream that was forwarded to the caller, across all endpoints that produced it. Used on the event loop
+ * only.
  *
- * <p>Invariant: events are passed on whole, once, and in the order of their ids.
+ * <p>Invariant: events are forwarded complete, once, and in the order of their ids.
  */
 final class RelayedStream {
     private boolean begun;
@@ -26,35 +27,38 @@
         return events;
     }
 
-    /** Returns whether the stream can go on at another endpoint. */
+    /** Returns whether another endpoint can start or continue the stream. */
     boolean isResumable() {
         return !begun || lastEventId.isPresent();
     }
 
-    /** Returns the event after which another endpoint must go on; empty if nothing was passed on yet. */
+    /**
+     * Returns the id of the event after which the next endpoint must continue: the last one forwarded, or before the
+     * first one that of the caller's request.
+     */
     OptionalLong resumeAfter(CallerRequest request) {
         return begun ? lastEventId : request.lastEventId();
     }
 
-    /** Passes the head on if it was not yet; a stream keeps the head of its first endpoint. */
-    void begin(AnswerHead head, CallerLink caller) {
+    /** Forwards the status and headers unless that was done; a stream keeps those of its first endpoint. */
+    void begin(AnswerHead head, ResponseWriter responseWriter) {
         if (!begun) {
             begun = true;
             status = head.status();
             final HttpHeaders headers = head.headers();
-            caller.beginStream(status, headers);
+            responseWriter.beginStream(status, headers);
         }
     }
 
-    /** Passes an event on, unless it was passed on before. */
-    void relay(EventCutter.Event event, CallerLink caller) {
-        final boolean repeated =
+    /** Forwards an event unless it was forwarded before. */
+    void relay(ServerSentEventSplitter.Event event, ResponseWriter responseWriter) {
+        final boolean alreadyRelayed =
                 event.id().isPresent() && lastEventId.isPresent() && event.id().getAsLong() <= lastEventId.getAsLong();
-        if (repeated) {
+        if (alreadyRelayed) {
             return;
         }
         lastEventId = event.id();
         events++;
-        caller.writeStream(event.bytes().array());
+        responseWriter.writeStream(event.bytes().array());
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/SendTerms.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/SendTerms.java
@@ -6,12 +6,13 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * What this system adds to a request that it passes on. Immutable; safe for use from any thread.
+ * Values that this system adds to a request when it forwards it to an endpoint. Immutable; safe for use from any
+ * thread.
  *
- * @param remainingMs time that is left for the answer
+ * @param remainingMs time that is left for the response
  * @param vm the only VM that may run the request
- * @param organisation the organisation that holds the caller's key
- * @param resumeAfter last event that was passed on, where a stream goes on at another endpoint
+ * @param organisation the organisation that owns the caller's API key
+ * @param resumeAfter id of the last event that the caller has, if the endpoint must continue a stream after it
  */
 public record SendTerms(
         long remainingMs, VmName vm, Optional<OrganisationName> organisation, OptionalLong resumeAfter) {}
--- a/src/main/java/org/wigeongrade/fleet/entry/EventCutter.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/ServerSentEventSplitter.java
@@ -7,21 +7,21 @@
 import org.wigeongrade.decisions.log.Bytes;
 
 /**
- * Cuts the bytes of a {@code text/event-stream} into whole events, unchanged.
+ * Splits the bytes of a {@code text/event-stream} into complete events without changing them.
  *
- * <p>Invariant: an event is returned only once its closing empty line came. Not thread safe.
+ * <p>Invariant: an event is returned only after the empty line that ends it has arrived. Not thread safe.
  */
-final class EventCutter {
+final class ServerSentEventSplitter {
     private static final String ID_FIELD = "id:";
 
-    /** One event as it was sent, with its id if it has one. */
+    /** The bytes of one event as they were sent, with its id if it has a numeric one. */
     record Event(Bytes bytes, OptionalLong id) {}
 
     private final ByteArrayOutputStream event = new ByteArrayOutputStream();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private OptionalLong id = OptionalLong.empty();
 
-    /** Takes in the next bytes and returns the events that they complete. */
+    /** Accepts the next bytes and returns the events that they complete. */
     ImmutableList<Event> accept(byte[] bytes) {
         final ImmutableList.Builder<Event> events = ImmutableList.builder();
         for (final byte next : bytes) {
@@ -37,12 +37,12 @@
         return events.build();
     }
 
-    /** Returns whether an event has begun and not ended. */
+    /** Returns whether an event has started but not ended. */
     boolean hasPartialEvent() {
         return event.size() > 0;
     }
 
-    /** Returns whether the line that ended was the empty one that closes an event. */
+    /** Processes a completed line; returns whether it is the empty line that ends an event. */
     private boolean endLine() {
         final String text = line.toString(StandardCharsets.UTF_8).stripTrailing();
         line.reset();
@@ -52,7 +52,7 @@
         return text.isEmpty();
     }
 
-    /** An id that is no number is passed on and cannot be resumed after. */
+    /** Returns a numeric id. Any other id is forwarded with its event, but a stream cannot be resumed after it. */
     private static OptionalLong parseId(String text) {
         final Long parsed = com.google.common.primitives.Longs.tryParse(text);
         return parsed == null ? OptionalLong.empty() : OptionalLong.of(parsed);
--- a/src/main/java/org/wigeongrade/fleet/entry/ViewClient.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/ViewPuller.java
@@ -28,57 +28,58 @@
 import org.wigeongrade.logging.LogEvent;
 
 /**
- * Pulls the view from the leader at a fixed interval, on a thread of its own, and hands it to the event loop.
+ * Pulls the view from the leader at a fixed interval, on its own thread, and applies it on the event loop.
  *
- * <p>Invariant: only answers of a leader whose lease held are taken; versions never go back. Thread safe.
+ * <p>Invariant: only replies of a leader with a valid lease are applied; configuration versions never decrease. Thread
+ * safe.
  */
-final class ViewClient implements AutoCloseable {
+final class ViewPuller implements AutoCloseable {
     private final NodeName self;
     private final AvailabilityZone zone;
     private final ControlDirectory directory;
-    private final EndpointFleet fleet;
+    private final EndpointRegistry registry;
     private final EventLoop loop;
-    private final ConfigurationCache configurations;
+    private final ConfigurationCache configurationCache;
     private final EventLog events;
     private final LongSupplier nanoClock;
-    private final Thread worker = new Thread(this::run, "pull");
+    private final Thread pullThread = new Thread(this::run, "pull");
     private final Deque<String> untriedControlVms = new ArrayDeque<>();
-    /** The control VM that leads, as far as is known. */
-    private Optional<String> target = Optional.empty();
+    /** The control VM that is believed to be the leader. */
+    private Optional<String> knownLeader = Optional.empty();
 
-    private Optional<String> connected = Optional.empty();
+    private Optional<String> connectedTo = Optional.empty();
     private Optional<FleetClient> client = Optional.empty();
     private boolean failing;
 
-    ViewClient(
+    ViewPuller(
             NodeName self,
             AvailabilityZone zone,
             ControlDirectory directory,
-            EndpointFleet fleet,
+            EndpointRegistry registry,
             EventLoop loop,
-            ConfigurationCache configurations,
+            ConfigurationCache configurationCache,
             EventLog events,
             LongSupplier nanoClock) {
         this.self = self;
         this.zone = zone;
         this.directory = directory;
-        this.fleet = fleet;
+        this.registry = registry;
         this.loop = loop;
-        this.configurations = configurations;
+        this.configurationCache = configurationCache;
         this.events = events;
         this.nanoClock = nanoClock;
-        worker.setDaemon(true);
+        pullThread.setDaemon(true);
     }
 
     void start() {
-        worker.start();
+        pullThread.start();
     }
 
     private void run() {
         try {
             while (true) {
-                final boolean led = pullOrLog();
-                Thread.sleep(led ? FleetTimings.PULL_INTERVAL_MS : FleetTimings.PULL_INTERVAL_MS / 4);
+                final boolean pulledFromLeader = pullOrLog();
+                Thread.sleep(pulledFromLeader ? FleetTimings.PULL_INTERVAL_MS : FleetTimings.PULL_INTERVAL_MS / 4);
             }
         } catch (InterruptedException e) {
             client.ifPresent(FleetClient::close);
@@ -89,43 +90,43 @@
         try {
             return pull();
         } catch (RuntimeException e) {
-            target = Optional.empty();
-            events.writeFault(LogEvent.VIEW_PULL_FAILED, e, connected.orElse("-"), e);
+            knownLeader = Optional.empty();
+            events.writeFault(LogEvent.VIEW_PULL_FAILED, e, connectedTo.orElse("-"), e);
             return false;
         }
     }
 
-    /** Makes one pull; returns whether a leader answered it. */
+    /** Pulls once; returns whether the leader replied. */
     private boolean pull() throws InterruptedException {
-        final String controlVm = target.orElseGet(this::nextControlVm);
+        final String controlVm = knownLeader.orElseGet(this::nextControlVm);
         connectTo(controlVm);
-        final PullRequest request = onLoop(this::request);
+        final PullRequest request = callOnEventLoop(this::buildRequest);
         final long sentNanos = nanoClock.getAsLong();
         try {
             final PullReply reply = client.orElseThrow().call(calls -> calls.pull(request));
             directory.learn(reply.getControlVms());
             if (reply.isLeads()) {
-                take(reply, sentNanos);
-                target = Optional.of(controlVm);
+                applyReply(reply, sentNanos);
+                knownLeader = Optional.of(controlVm);
                 return true;
             }
-            returnCrashes(request.getCrashes());
-            target = Optional.of(reply.getLeader()).filter(leader -> !leader.isEmpty() && !leader.equals(controlVm));
+            restoreCrashes(request.getCrashes());
+            knownLeader = Optional.of(reply.getLeader()).filter(leader -> !leader.isEmpty() && !leader.equals(controlVm));
         } catch (TException | IllegalArgumentException e) {
-            returnCrashes(request.getCrashes());
-            target = Optional.empty();
-            noteFailure(controlVm, e);
+            restoreCrashes(request.getCrashes());
+            knownLeader = Optional.empty();
+            logFirstFailure(controlVm, e);
         }
         return false;
     }
 
     private void connectTo(String controlVm) {
-        if (connected.filter(controlVm::equals).isPresent()) {
+        if (connectedTo.filter(controlVm::equals).isPresent()) {
             return;
         }
         client.ifPresent(FleetClient::close);
         client = Optional.of(new FleetClient(directory.fleetAddress(controlVm), FleetTimings.PULL_TIMEOUT_MS));
-        connected = Optional.of(controlVm);
+        connectedTo = Optional.of(controlVm);
     }
 
     private String nextControlVm() {
@@ -135,67 +136,67 @@
         return untriedControlVms.removeFirst();
     }
 
-    private PullRequest request() {
-        final EntryView view = fleet.view();
-        final ImmutableList<UsageRecord> usage = fleet.takeUsage(nanoClock.getAsLong());
-        final ImmutableList<CrashRecord> crashes = fleet.takeCrashes();
+    private PullRequest buildRequest() {
+        final EntryView view = registry.view();
+        final ImmutableList<UsageRecord> usage = registry.drainUsage(nanoClock.getAsLong());
+        final ImmutableList<CrashRecord> crashes = registry.drainCrashes();
         return new PullRequest(
                 self.value(), zone.value(), view.version(), view.term(), view.changeNumber(), usage, crashes);
     }
 
-    private void take(PullReply reply, long sentNanos) throws InterruptedException {
+    private void applyReply(PullReply reply, long sentNanos) throws InterruptedException {
         failing = false;
-        final EntryView known = fleet.view();
-        final Optional<PublishedConfiguration> newer = reply.isSetDocument()
-                ? Optional.of(configurations.get(reply.getConfigurationVersion(), reply.getDocument()))
+        final EntryView known = registry.view();
+        final Optional<PublishedConfiguration> newConfiguration = reply.isSetDocument()
+                ? Optional.of(configurationCache.get(reply.getConfigurationVersion(), reply.getDocument()))
                         .filter(found -> found.version() > known.version())
                 : Optional.empty();
-        final boolean replaces = reply.isComplete() && reply.isSettled();
+        final boolean replacesAll = reply.isComplete() && reply.isSettled();
         final EntryView next = new EntryView(
-                newer.or(known::configuration),
+                newConfiguration.or(known::configuration),
                 reply.getZonesOut().stream().map(AvailabilityZone::of).collect(ImmutableSet.toImmutableSet()),
-                EntryView.merge(known.endpoints(), reply.getChanged(), reply.getRemoved(), replaces),
+                EntryView.merge(known.endpoints(), reply.getChanged(), reply.getRemoved(), replacesAll),
                 Optional.ofNullable(reply.getInFlightElsewhere()).orElse(Map.of()),
                 Optional.ofNullable(reply.getUnreadTokensElsewhere()).orElse(Map.of()),
                 ImmutableSet.copyOf(reply.getQuarantined()),
                 reply.getEntryVms(),
-                // A leader that is not settled is asked for its whole state again.
+                // With term 0, the next pull asks a leader that is not settled yet for its complete state again.
                 reply.isSettled() ? reply.getTerm() : 0,
                 reply.getChangeNumber(),
                 sentNanos);
-        newer.ifPresent(configuration -> events.write(LogEvent.VIEW_CHANGED, configuration.version()));
-        onLoop(() -> {
-            fleet.apply(next, nanoClock.getAsLong());
+        newConfiguration.ifPresent(configuration -> events.write(LogEvent.VIEW_CHANGED, configuration.version()));
+        callOnEventLoop(() -> {
+            registry.apply(next, nanoClock.getAsLong());
             return ImmutableMap.of();
         });
     }
 
-    private void returnCrashes(List<CrashRecord> crashes) throws InterruptedException {
+    private void restoreCrashes(List<CrashRecord> crashes) throws InterruptedException {
         if (!crashes.isEmpty()) {
-            onLoop(() -> {
-                fleet.returnCrashes(crashes);
+            callOnEventLoop(() -> {
+                registry.restoreCrashes(crashes);
                 return ImmutableMap.of();
             });
         }
     }
 
-    private void noteFailure(String controlVm, Exception cause) {
+    private void logFirstFailure(String controlVm, Exception cause) {
         if (!failing) {
             failing = true;
             events.write(LogEvent.VIEW_PULL_FAILED, controlVm, cause);
         }
     }
 
-    private <T> T onLoop(java.util.concurrent.Callable<T> task) throws InterruptedException {
+    private <T> T callOnEventLoop(java.util.concurrent.Callable<T> task) throws InterruptedException {
         try {
-            return loop.loop().submit(task).get(FleetTimings.PULL_TIMEOUT_MS * 10L, TimeUnit.MILLISECONDS);
+            return loop.eventLoop().submit(task).get(FleetTimings.PULL_TIMEOUT_MS * 10L, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | java.util.concurrent.TimeoutException e) {
-            throw new IllegalStateException("the event loop did not answer: " + e, e);
+            throw new IllegalStateException("a task on the event loop failed or timed out: " + e, e);
         }
     }
 
     @Override
     public void close() {
-        worker.interrupt();
+        pullThread.interrupt();
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/package-info.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The entry role: takes callers' requests and sends them to endpoints. */
+/** The entry role: receives callers' requests and forwards them to endpoints. */
 package org.wigeongrade.fleet.entry;
--- a/src/main/java/org/wigeongrade/fleet/net/CallServer.java
+++ b/src/main/java/org/wigeongrade/fleet/net/CallServer.java
@@ -14,9 +14,9 @@
 import org.wigeongrade.decisions.log.Bytes;
 
 /**
- * Answers whole requests of one connection by a function, in their order. Used on the event loop only.
+ * Handles the requests of one HTTP connection with a function, in their order. Used on the event loop only.
  *
- * <p>Invariant: no second request is read before the first is answered.
+ * <p>Invariant: the next request is read only after the response to the previous one was written.
  */
 public final class CallServer extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final System.Logger LOGGER = System.getLogger(CallServer.class.getName());
@@ -24,7 +24,7 @@
 
     private final Function<Call, CompletableFuture<HttpReply>> service;
 
-    /** One request. The body is a copy, so the call may outlive the read. */
+    /** A request. The body is a copy, so that it stays valid after the read has returned. */
     public record Call(String method, String path, Bytes body) {}
 
     public CallServer(Function<Call, CompletableFuture<HttpReply>> service) {
@@ -41,9 +41,9 @@
         final var unused = serve(new Call(request.method().name(), request.uri(), Bytes.wrap(body)))
                 .whenComplete((reply, failure) -> context.executor().execute(() -> {
                     if (failure != null) {
-                        LOGGER.log(Level.WARNING, "call " + request.uri() + " failed", failure);
+                        LOGGER.log(Level.WARNING, "request " + request.uri() + " failed", failure);
                     }
-                    write(context, failure == null ? reply : HttpReply.text(INTERNAL_ERROR, "fault\n"), keepAlive);
+                    write(context, failure == null ? reply : HttpReply.text(INTERNAL_ERROR, "internal error\n"), keepAlive);
                 }));
     }
 
@@ -58,17 +58,17 @@
     private static void write(ChannelHandlerContext context, HttpReply reply, boolean keepAlive) {
         final FullHttpResponse message = reply.toMessage();
         if (keepAlive) {
-            Futures.unwatched(context.writeAndFlush(message));
+            NettyFutures.logFailure(context.writeAndFlush(message));
             context.channel().config().setAutoRead(true);
             return;
         }
         message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        Futures.unwatched(context.writeAndFlush(message).addListener(ChannelFutureListener.CLOSE));
+        NettyFutures.logFailure(context.writeAndFlush(message).addListener(ChannelFutureListener.CLOSE));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         LOGGER.log(Level.DEBUG, "connection {0} failed: {1}", context.channel().remoteAddress(), cause);
-        Futures.unwatched(context.close());
+        NettyFutures.logFailure(context.close());
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/net/EventLoop.java
+++ b/src/main/java/org/wigeongrade/fleet/net/EventLoop.java
@@ -5,25 +5,25 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.util.concurrent.TimeUnit;
 
-/** The one event loop of a process; everything about callers and endpoints runs on it. Thread safe. */
+/** The single event loop of a process; all work for callers and endpoints runs on it. Thread safe. */
 public final class EventLoop implements AutoCloseable {
-    private static final long QUIET_MS = 0;
+    private static final long QUIET_PERIOD_MS = 0;
     private static final long STOP_TIMEOUT_MS = 500;
 
     private final EventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("io", true));
 
-    /** Returns the group to hand to bootstraps. */
+    /** Returns the group for Netty bootstraps. */
     public EventLoopGroup group() {
         return group;
     }
 
-    /** Returns the loop itself. */
-    public io.netty.channel.EventLoop loop() {
+    /** Returns Netty's event loop. */
+    public io.netty.channel.EventLoop eventLoop() {
         return group.next();
     }
 
     @Override
     public void close() {
-        Futures.unwatched(group.shutdownGracefully(QUIET_MS, STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        NettyFutures.logFailure(group.shutdownGracefully(QUIET_PERIOD_MS, STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/net/HttpListener.java
+++ b/src/main/java/org/wigeongrade/fleet/net/HttpListener.java
@@ -15,7 +15,7 @@
 
 /** Listens for HTTP connections on one address. Thread safe. */
 public final class HttpListener implements AutoCloseable {
-    /** Connections that may wait to be accepted; many clients come back at once after an outage. */
+    /** Maximum of connections that wait to be accepted; many clients reconnect at once after an outage. */
     private static final int BACKLOG = 1_024;
 
     private static final int MAX_INITIAL_LINE_BYTES = 16 * 1024;
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Begins to listen; {@code handlers} adds its own handlers behind the codec of each connection.
+     * Starts listening; {@code handlers} adds handlers after the HTTP codec of each connection's pipeline.
      *
      * @throws WigeongradeException with {@link ErrorKind#INTERNAL} if the address cannot be listened on
      */
--- a/src/main/java/org/wigeongrade/fleet/net/HttpReply.java
+++ b/src/main/java/org/wigeongrade/fleet/net/HttpReply.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 import org.wigeongrade.decisions.log.Bytes;
 
-/** A whole HTTP answer of this system. Immutable; safe for use from any thread. */
+/** A complete HTTP response that this system creates. Immutable; safe for use from any thread. */
 public record HttpReply(int status, Bytes body, Map<String, String> headers) {
     public HttpReply {
         headers = ImmutableMap.copyOf(headers);
     }
 
-    /** Returns an answer with a text body. */
+    /** Returns a response with a text body. */
     public static HttpReply text(int status, String text) {
         return new HttpReply(
                 status,
@@ -25,12 +25,12 @@
                 Map.of("content-type", "text/plain; charset=utf-8"));
     }
 
-    /** Returns an answer with a JSON body. */
+    /** Returns a response with a JSON body. */
     public static HttpReply json(int status, byte[] json) {
         return new HttpReply(status, Bytes.wrap(json), Map.of("content-type", "application/json"));
     }
 
-    /** Returns this answer with one more header. */
+    /** Returns this response with a header added or replaced. */
     public HttpReply with(String name, String value) {
         final ImmutableMap<String, String> more = ImmutableMap.<String, String>builder()
                 .putAll(headers)
@@ -39,7 +39,7 @@
         return new HttpReply(status, body, more);
     }
 
-    /** Returns the message to write, with its length. */
+    /** Returns the Netty message to write, with its content length. */
     public FullHttpResponse toMessage() {
         final FullHttpResponse message = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body.array()));
--- a/src/main/java/org/wigeongrade/fleet/net/OneCall.java
+++ b/src/main/java/org/wigeongrade/fleet/net/OneCall.java
@@ -20,13 +20,13 @@
 import java.util.concurrent.TimeoutException;
 import org.wigeongrade.decisions.log.Bytes;
 
-/** Sends single requests, each on a connection of its own. Thread safe. */
+/** Sends single HTTP requests, each on its own connection. Thread safe. */
 public final class OneCall {
-    private static final int MAX_ANSWER_BYTES = 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 1024 * 1024;
 
     private final EventLoop loop;
 
-    /** Status, headers and body of an answer. */
+    /** Status, headers and body of a response. */
     public record Answer(int status, io.netty.handler.codec.http.HttpHeaders headers, Bytes body) {}
 
     public OneCall(EventLoop loop) {
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Sends a request and gives its answer; fails with {@link java.net.ConnectException} if the address refused, and with
-     * {@link TimeoutException} if no whole answer came in time.
+     * Sends a request and returns a future of its response. The future fails with {@link java.net.ConnectException} if
+     * the connection was refused, and with {@link TimeoutException} if no complete response arrived in time.
      */
     public CompletableFuture<Answer> send(InetSocketAddress address, FullHttpRequest request, int timeoutMs) {
-        final CompletableFuture<Answer> answer = new CompletableFuture<>();
+        final CompletableFuture<Answer> result = new CompletableFuture<>();
         final Bootstrap bootstrap = new Bootstrap()
                 .group(loop.group())
                 .channel(NioSocketChannel.class)
@@ -49,61 +49,61 @@
                     protected void initChannel(SocketChannel child) {
                         child.pipeline()
                                 .addLast(new HttpClientCodec())
-                                .addLast(new HttpObjectAggregator(MAX_ANSWER_BYTES))
-                                .addLast(new Reader(answer));
+                                .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
+                                .addLast(new ResponseHandler(result));
                     }
                 });
         final ChannelFuture connecting = bootstrap.connect(address);
         final var unused = connecting.addListener(done -> {
             if (done.isSuccess()) {
-                write(connecting.channel(), request, timeoutMs, answer);
+                write(connecting.channel(), request, timeoutMs, result);
                 return;
             }
             request.release();
-            answer.completeExceptionally(done.cause());
+            result.completeExceptionally(done.cause());
         });
-        return answer;
+        return result;
     }
 
     private static void write(
-            Channel channel, FullHttpRequest request, int timeoutMs, CompletableFuture<Answer> answer) {
-        Futures.unwatched(channel.writeAndFlush(request));
-        Futures.unwatched(channel.eventLoop()
+            Channel channel, FullHttpRequest request, int timeoutMs, CompletableFuture<Answer> result) {
+        NettyFutures.logFailure(channel.writeAndFlush(request));
+        NettyFutures.logFailure(channel.eventLoop()
                 .schedule(
                         () -> {
-                            answer.completeExceptionally(
-                                    new TimeoutException("no answer of " + channel.remoteAddress()));
-                            Futures.unwatched(channel.close());
+                            result.completeExceptionally(
+                                    new TimeoutException("no response from " + channel.remoteAddress()));
+                            NettyFutures.logFailure(channel.close());
                         },
                         timeoutMs,
                         TimeUnit.MILLISECONDS));
     }
 
-    /** Completes the future with the first whole answer. Used on the event loop only. */
-    private static final class Reader extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final CompletableFuture<Answer> answer;
+    /** Completes the future with the first complete response. Used on the event loop only. */
+    private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private final CompletableFuture<Answer> result;
 
-        Reader(CompletableFuture<Answer> answer) {
-            this.answer = answer;
+        ResponseHandler(CompletableFuture<Answer> result) {
+            this.result = result;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             final byte[] body = new byte[response.content().readableBytes()];
             response.content().readBytes(body);
-            answer.complete(new Answer(response.status().code(), response.headers(), Bytes.wrap(body)));
-            Futures.unwatched(context.close());
+            result.complete(new Answer(response.status().code(), response.headers(), Bytes.wrap(body)));
+            NettyFutures.logFailure(context.close());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            answer.completeExceptionally(new IOException("connection closed before the answer"));
+            result.completeExceptionally(new IOException("connection closed before the response"));
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            answer.completeExceptionally(cause);
-            Futures.unwatched(context.close());
+            result.completeExceptionally(cause);
+            NettyFutures.logFailure(context.close());
         }
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/net/package-info.java
+++ b/src/main/java/org/wigeongrade/fleet/net/package-info.java
@@ -1,2 +1,2 @@
-/** Listening and calling by HTTP on one event loop. */
+/** HTTP server and client parts that run on one event loop. */
 package org.wigeongrade.fleet.net;
--- a/src/test/java/org/wigeongrade/fleet/SuspendAwareClockTest.java
+++ b/src/test/java/org/wigeongrade/fleet/SuspendAwareClockTest.java
@@ -10,24 +10,24 @@
 final class SuspendAwareClockTest {
     @ParameterizedTest
     @CsvSource({
-        // steady clock, time of day and what this clock shows for it, in milliseconds
+        // elapsed time on the monotonic clock, the wall clock and the clock under test, in milliseconds
         "100, 100, 100",
         "100, 5100, 5100",
         "100, 250, 100",
         "100, -2300, 100",
         "0, 2400, 2400",
     })
-    void countsJumpsOfTheTimeOfDayForwardOnly(long steadyMs, long wallMs, long shownMs) {
-        final AtomicLong steadyNanos = new AtomicLong(TimeUnit.SECONDS.toNanos(1));
+    void countsJumpsOfTheTimeOfDayForwardOnly(long monotonicMs, long wallMs, long expectedMs) {
+        final AtomicLong monotonicNanos = new AtomicLong(TimeUnit.SECONDS.toNanos(1));
         final AtomicLong epochMs = new AtomicLong(1_000_000);
-        final SuspendAwareClock clock = new SuspendAwareClock(steadyNanos::get, epochMs::get);
+        final SuspendAwareClock clock = new SuspendAwareClock(monotonicNanos::get, epochMs::get);
         final long startNanos = clock.getAsLong();
-        steadyNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(steadyMs));
+        monotonicNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(monotonicMs));
         epochMs.addAndGet(wallMs);
 
         assertThat(TimeUnit.NANOSECONDS.toMillis(clock.getAsLong() - startNanos))
-                .isEqualTo(shownMs);
+                .isEqualTo(expectedMs);
         assertThat(TimeUnit.NANOSECONDS.toMillis(clock.getAsLong() - startNanos))
-                .isEqualTo(shownMs);
+                .isEqualTo(expectedMs);
     }
 }
--- a/src/test/java/org/wigeongrade/fleet/entry/EndpointChannelTest.java
+++ b/src/test/java/org/wigeongrade/fleet/entry/EndpointResponseHandlerTest.java
@@ -19,105 +19,105 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.wigeongrade.platform.CallerMessages;
 
-/** Answers that are late, doubled, foreign or cut, on one connection to an endpoint. */
-final class EndpointChannelTest {
-    private static final String OWN =
+/** Tests late, duplicate, unrelated and truncated responses on one connection to an endpoint. */
+final class EndpointResponseHandlerTest {
+    private static final String EXPECTED =
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: mine\r\nX-Server-Seal: s\r\nKeep-Alive: timeout=5\r\n"
                     + "Content-Length: 3\r\n\r\nabc";
-    private static final String FOREIGN =
+    private static final String OTHER =
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nother";
 
-    private final List<String> heard = new ArrayList<>();
-    private final List<Long> kept = new ArrayList<>();
+    private final List<String> reported = new ArrayList<>();
+    private final List<Long> keptIdleMs = new ArrayList<>();
     private final EmbeddedChannel channel = new EmbeddedChannel(
-            new HttpClientCodec(), new EndpointChannel(new CallerMessages(), (connection, idleMs) -> kept.add(idleMs)));
+            new HttpClientCodec(), new EndpointResponseHandler(new CallerMessages(), (connection, idleMs) -> keptIdleMs.add(idleMs)));
 
     @Test
-    void wholeAnswerEndsTheCallAndKeepsTheConnection() {
-        begin();
-        receive(OWN);
+    void completeResponseEndsTheCallAndKeepsTheConnection() {
+        sendRequest();
+        receive(EXPECTED);
 
-        assertThat(heard).containsExactly("head 200", "abc", "end").inOrder();
-        assertThat(kept).containsExactly(4_500L);
+        assertThat(reported).containsExactly("head 200", "abc", "end").inOrder();
+        assertThat(keptIdleMs).containsExactly(4_500L);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 10, 1_000})
-    void answerOfAnotherRequestIsSkipped(int pieceBytes) {
-        begin();
-        final String both = FOREIGN + OWN;
-        for (int from = 0; from < both.length(); from += pieceBytes) {
-            receive(both.substring(from, Math.min(both.length(), from + pieceBytes)));
+    void answerOfAnotherRequestIsSkipped(int chunkBytes) {
+        sendRequest();
+        final String both = OTHER + EXPECTED;
+        for (int from = 0; from < both.length(); from += chunkBytes) {
+            receive(both.substring(from, Math.min(both.length(), from + chunkBytes)));
         }
 
-        assertThat(heard.get(0)).isEqualTo("head 200");
-        assertThat(String.join("", heard.subList(1, heard.size()))).isEqualTo("abcend");
+        assertThat(reported.get(0)).isEqualTo("head 200");
+        assertThat(String.join("", reported.subList(1, reported.size()))).isEqualTo("abcend");
     }
 
     @Test
-    void secondAnswerBehindTheFirstClosesTheConnection() {
-        begin();
-        receive(OWN + FOREIGN);
+    void secondResponseAfterTheFirstClosesTheConnection() {
+        sendRequest();
+        receive(EXPECTED + OTHER);
 
-        assertThat(heard).containsExactly("head 200", "abc", "end").inOrder();
+        assertThat(reported).containsExactly("head 200", "abc", "end").inOrder();
         assertThat(channel.isActive()).isFalse();
     }
 
     @Test
-    void bytesThatNobodyAskedForCloseTheConnection() {
-        begin();
-        receive(OWN);
-        receive(FOREIGN);
+    void unsolicitedBytesCloseTheConnection() {
+        sendRequest();
+        receive(EXPECTED);
+        receive(OTHER);
 
         assertThat(channel.isActive()).isFalse();
     }
 
     @Test
-    void answerThatIsCutIsBroken() {
-        begin();
-        receive(OWN.substring(0, OWN.length() - 1));
+    void truncatedResponseFails() {
+        sendRequest();
+        receive(EXPECTED.substring(0, EXPECTED.length() - 1));
         channel.close().syncUninterruptibly();
 
-        assertThat(heard.get(heard.size() - 1)).startsWith("broken");
-        assertThat(kept).isEmpty();
+        assertThat(reported.get(reported.size() - 1)).startsWith("failed after send");
+        assertThat(keptIdleMs).isEmpty();
     }
 
     @Test
-    void resetWithinAnAnswerWithoutLengthIsBroken() {
-        begin();
+    void resetDuringResponseWithoutLengthFails() {
+        sendRequest();
         receive("HTTP/1.1 200 OK\r\nX-Attempt-Id: mine\r\nX-Server-Seal: s\r\n\r\nab");
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset by peer"));
         channel.close().syncUninterruptibly();
 
-        assertThat(heard.get(heard.size() - 1)).startsWith("broken");
+        assertThat(reported.get(reported.size() - 1)).startsWith("failed after send");
     }
 
     @Test
-    void answerWithoutLengthIsWholeWithItsConnection() {
-        begin();
+    void responseWithoutLengthEndsWithItsConnection() {
+        sendRequest();
         receive("HTTP/1.1 200 OK\r\nX-Attempt-Id: mine\r\nX-Server-Seal: s\r\n\r\nab");
         channel.close().syncUninterruptibly();
 
-        assertThat(heard).containsExactly("head 200", "ab", "end").inOrder();
-        assertThat(kept).isEmpty();
+        assertThat(reported).containsExactly("head 200", "ab", "end").inOrder();
+        assertThat(keptIdleMs).isEmpty();
     }
 
     @Test
-    void bytesThatAreNoAnswerAreBroken() {
-        begin();
+    void invalidHttpFails() {
+        sendRequest();
         receive("\u0001\u0002garbage\r\n\r\n");
 
-        assertThat(heard.get(heard.size() - 1)).startsWith("broken");
+        assertThat(reported.get(reported.size() - 1)).startsWith("failed after send");
         assertThat(channel.isActive()).isFalse();
     }
 
-    private void begin() {
+    private void sendRequest() {
         final EndpointCall call = new EndpointCall(
                 Optional.of("mine"),
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/"),
                 new Recorder());
-        call.sentOn(channel);
-        channel.pipeline().get(EndpointChannel.class).begin(call);
+        call.markSent(channel);
+        channel.pipeline().get(EndpointResponseHandler.class).awaitResponse(call);
         channel.writeOutbound(call.message());
     }
 
@@ -129,27 +129,27 @@
     private final class Recorder implements EndpointListener {
         @Override
         public void onHead(AnswerHead head) {
-            heard.add("head " + head.status());
+            reported.add("head " + head.status());
         }
 
         @Override
         public void onBody(byte[] bytes) {
-            heard.add(new String(bytes, StandardCharsets.UTF_8));
+            reported.add(new String(bytes, StandardCharsets.UTF_8));
         }
 
         @Override
-        public void onEnd() {
-            heard.add("end");
+        public void onComplete() {
+            reported.add("end");
         }
 
         @Override
         public void onNotSent(String cause, boolean refused) {
-            heard.add("not sent");
+            reported.add("not sent");
         }
 
         @Override
-        public void onBroken(String cause) {
-            heard.add("broken: " + cause);
+        public void onFailedAfterSend(String cause) {
+            reported.add("failed after send: " + cause);
         }
     }
 }
--- a/src/test/java/org/wigeongrade/fleet/entry/ExchangeMoveTest.java
+++ b/src/test/java/org/wigeongrade/fleet/entry/ExchangeFailoverTest.java
@@ -42,16 +42,19 @@
 import org.wigeongrade.metrics.Metrics;
 import org.wigeongrade.platform.CallerMessages;
 
-/** A request at an endpoint that stands still, while another endpoint has room or is full. */
-final class ExchangeMoveTest {
+/** Tests a request at a stalled endpoint while another endpoint has free slots or is full. */
+final class ExchangeFailoverTest {
     private static final ServiceName SERVICE = ServiceName.of("app");
     private static final AvailabilityZone ZONE = AvailabilityZone.of("zone-a");
     private static final int SLOTS = 4;
-    /** Longer than the patience with an endpoint that was expected to answer at once; a view counts as new for longer. */
-    private static final long STANDSTILL_MS = 700;
+    /**
+     * Longer than the stall timeout of an endpoint that was expected to respond at once; a view counts as recent for
+     * longer.
+     */
+    private static final long STALL_MS = 700;
 
     private final EventLoop loop = new EventLoop();
-    private final List<String> answers = new CopyOnWriteArrayList<>();
+    private final List<String> written = new CopyOnWriteArrayList<>();
     private final List<ServerSocket> endpoints = new ArrayList<>();
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
 
@@ -65,22 +68,22 @@
 
     @ParameterizedTest
     @CsvSource({"0, 2", "40, 1"})
-    void requestMovesOnlyToAnEndpointThatHasRoom(int requestsAtTheOther, int endpointsTried)
+    void requestMovesOnlyToAnEndpointThatHasRoom(int requestsAtOther, int expectedConnections)
             throws IOException, InterruptedException, ExecutionException {
         final RoutableRecord silent = endpoint("silent");
         final RoutableRecord other = endpoint("other");
-        final EndpointFleet fleet = new EndpointFleet(new EventLog(), System.nanoTime());
-        fleet.apply(view(silent, other, Map.of("other", SLOTS - 1)), System.nanoTime());
-        loop.loop()
-                .submit(() -> new Exchange(services(fleet), request(), new Caller(), () -> {}).start())
+        final EndpointRegistry registry = new EndpointRegistry(new EventLog(), System.nanoTime());
+        registry.apply(view(silent, other, Map.of("other", SLOTS - 1)), System.nanoTime());
+        loop.eventLoop()
+                .submit(() -> new Exchange(services(registry), request(), new RecordingWriter(), () -> {}).start())
                 .get();
-        loop.loop()
-                .submit(() -> fleet.apply(view(silent, other, Map.of("other", requestsAtTheOther)), System.nanoTime()))
+        loop.eventLoop()
+                .submit(() -> registry.apply(view(silent, other, Map.of("other", requestsAtOther)), System.nanoTime()))
                 .get();
-        TimeUnit.MILLISECONDS.sleep(STANDSTILL_MS);
+        TimeUnit.MILLISECONDS.sleep(STALL_MS);
 
-        assertThat(connections).hasSize(endpointsTried);
-        assertThat(answers).isEmpty();
+        assertThat(connections).hasSize(expectedConnections);
+        assertThat(written).isEmpty();
     }
 
     private RoutableRecord endpoint(String name) throws IOException {
@@ -143,17 +146,17 @@
         return new PublishedConfiguration(1, List.of(route), List.of(service), CallerLimits.DEFAULT, List.of());
     }
 
-    private EntryServices services(EndpointFleet fleet) {
+    private EntryServices services(EndpointRegistry registry) {
         final CallerMessages codec = new CallerMessages();
         return new EntryServices(
                 ZONE,
                 loop,
                 codec,
-                fleet,
-                new EndpointConnections(loop, codec, System::nanoTime),
+                registry,
+                new EndpointConnectionPool(loop, codec, System::nanoTime),
                 new Balancer(new SplittableRandom(1)),
                 new RetryAllowance(0.2, 100, TimeUnit.SECONDS.toNanos(10)),
-                new ColdLimits(1.5, 5),
+                new ColdStartLimits(1.5, 5),
                 new SplittableRandom(1),
                 new EventLog(),
                 new Metrics(),
@@ -177,35 +180,35 @@
                 Bytes.wrap(new byte[0]));
     }
 
-    private final class Caller implements CallerLink {
+    private final class RecordingWriter implements ResponseWriter {
         @Override
-        public void answer(HttpReply reply) {
-            answers.add(reply.toString());
+        public void writeResponse(HttpReply reply) {
+            written.add(reply.toString());
         }
 
         @Override
-        public void answer(int status, HttpHeaders headers, byte[] body) {
-            answers.add("status " + status);
+        public void writeResponse(int status, HttpHeaders headers, byte[] body) {
+            written.add("status " + status);
         }
 
         @Override
         public void beginStream(int status, HttpHeaders headers) {
-            answers.add("stream");
+            written.add("stream");
         }
 
         @Override
         public void writeStream(byte[] bytes) {
-            answers.add("event");
+            written.add("event");
         }
 
         @Override
         public void endStream() {
-            answers.add("end");
+            written.add("end");
         }
 
         @Override
-        public void breakOff() {
-            answers.add("broken off");
+        public void abort() {
+            written.add("aborted");
         }
     }
 }
