--- a/src/main/java/org/wigeongrade/fleet/entry/CallerConnection.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/CallerConnection.java
@@ -24,8 +24,8 @@
 import org.wigeongrade.decisions.published.CallerLimits;
 import org.wigeongrade.decisions.published.PublishedConfiguration;
 import org.wigeongrade.errors.WigeongradeException;
-import org.wigeongrade.fleet.net.NettyFutures;
 import org.wigeongrade.fleet.net.HttpReply;
+import org.wigeongrade.fleet.net.NettyFutures;
 import org.wigeongrade.logging.LogEvent;
 
 /**
@@ -178,7 +178,8 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext changed) {
-        currentExchange.ifPresent(exchange -> exchange.onCallerWritabilityChanged(changed.channel().isWritable()));
+        currentExchange.ifPresent(exchange ->
+                exchange.onCallerWritabilityChanged(changed.channel().isWritable()));
     }
 
     @Override
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointAttempt.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointAttempt.java
@@ -41,7 +41,8 @@
     private int events;
     EndpointCall call;
 
-    EndpointAttempt(Exchange exchange, EndpointLoad endpoint, Optional<EngineModel> engine, double predictedMs, long nowNanos) {
+    EndpointAttempt(
+            Exchange exchange, EndpointLoad endpoint, Optional<EngineModel> engine, double predictedMs, long nowNanos) {
         this.exchange = exchange;
         this.services = exchange.services();
         this.endpoint = endpoint;
@@ -106,7 +107,8 @@
         if (finishedHead.notRun()) {
             endpoint.failed(services.nowNanos());
             finishedHead.faultyVm().ifPresent(vm -> services.registry().recordFaultyVm(endpoint, vm));
-            exchange.onNotRun(this, RetryReason.ENDPOINT_REFUSED, "the endpoint responded with status " + finishedHead.status());
+            exchange.onNotRun(
+                    this, RetryReason.ENDPOINT_REFUSED, "the endpoint responded with status " + finishedHead.status());
         } else if (isStream()) {
             finishStream();
         } else {
@@ -149,7 +151,8 @@
     }
 
     private void finishResponse(AnswerHead finishedHead) {
-        final BufferedResponse response = new BufferedResponse(finishedHead.status(), finishedHead.headers(), body.toByteArray());
+        final BufferedResponse response =
+                new BufferedResponse(finishedHead.status(), finishedHead.headers(), body.toByteArray());
         if (finishedHead.isServerError()) {
             endpoint.failed(services.nowNanos());
             exchange.onErrorResponse(this, response);
@@ -220,7 +223,8 @@
 
     private void scheduleStallCheck(long delayMs) {
         stallCheckDueNanos = services.nowNanos() + TimeUnit.MILLISECONDS.toNanos(delayMs);
-        stallCheck = Optional.of(services.loop().eventLoop().schedule(this::checkForStall, delayMs, TimeUnit.MILLISECONDS));
+        stallCheck =
+                Optional.of(services.loop().eventLoop().schedule(this::checkForStall, delayMs, TimeUnit.MILLISECONDS));
     }
 
     private void checkForStall() {
@@ -230,8 +234,8 @@
         }
         final long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(stallTimeoutMs());
         final long sinceProgressNanos = nowNanos - lastProgressNanos;
-        final boolean stalled =
-                sinceProgressNanos >= timeoutNanos && endpoint.stalledNanos(nowNanos) >= ENDPOINT_STALL_FRACTION * timeoutNanos;
+        final boolean stalled = sinceProgressNanos >= timeoutNanos
+                && endpoint.stalledNanos(nowNanos) >= ENDPOINT_STALL_FRACTION * timeoutNanos;
         if (stalled && exchange.tryReserveFailover()) {
             failOver(TimeUnit.NANOSECONDS.toMillis(sinceProgressNanos));
             return;
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointCall.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointCall.java
@@ -65,7 +65,7 @@
         }
     }
 
-    void reportEnd() {
+    void reportComplete() {
         if (!finished) {
             finished = true;
             listener.onComplete();
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointConnectionPool.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointConnectionPool.java
@@ -126,7 +126,8 @@
     private void release(VmIncarnation vm, Channel channel, long idleMs) {
         final Deque<IdleConnection> connections = idleByVm.computeIfAbsent(vm, unused -> new ArrayDeque<>());
         final long usableMs = Math.min(MAX_IDLE_MS, idleMs);
-        connections.addLast(new IdleConnection(channel, nanoClock.getAsLong() + TimeUnit.MILLISECONDS.toNanos(usableMs)));
+        connections.addLast(
+                new IdleConnection(channel, nanoClock.getAsLong() + TimeUnit.MILLISECONDS.toNanos(usableMs)));
         if (connections.size() > MAX_IDLE_CONNECTIONS) {
             NettyFutures.logFailure(connections.removeFirst().channel().close());
         }
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointResponseHandler.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointResponseHandler.java
@@ -113,7 +113,7 @@
         } else {
             NettyFutures.logFailure(context.close());
         }
-        call.reportEnd();
+        call.reportComplete();
     }
 
     private void fail(ChannelHandlerContext context, String cause) {
--- a/src/main/java/org/wigeongrade/fleet/entry/EntryNode.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EntryNode.java
@@ -129,7 +129,8 @@
                 settings.readinessListen().orElseThrow().toSocketAddress(),
                 CallerLimits.DEFAULT.maxHeaderBytes(),
                 pipeline -> pipeline.addLast(new HttpObjectAggregator(MAX_READINESS_BYTES))
-                        .addLast(new CallServer(call -> CompletableFuture.completedFuture(answerReadinessCheck(call)))));
+                        .addLast(
+                                new CallServer(call -> CompletableFuture.completedFuture(answerReadinessCheck(call)))));
         MetricsListener.open(loop, new InetSocketAddress(settings.bindIp(), settings.metricsPort()), metrics);
         events.write(
                 LogEvent.NODE_STARTED,
@@ -193,7 +194,8 @@
     }
 
     private int requestsInFlight() {
-        return CompletableFuture.supplyAsync(connections::inFlight, loop.eventLoop()).join();
+        return CompletableFuture.supplyAsync(connections::inFlight, loop.eventLoop())
+                .join();
     }
 
     private static long elapsedMs(long startNanos) {
--- a/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
@@ -100,7 +100,8 @@
     }
 
     private void setDeadline(Route matched) {
-        final long waitMs = Math.min(matched.timeoutMs(), request.callerWaitsMs().orElse(matched.timeoutMs()));
+        final long waitMs =
+                Math.min(matched.timeoutMs(), request.callerWaitsMs().orElse(matched.timeoutMs()));
         deadlineNanos = log.arrivedNanos() + TimeUnit.MILLISECONDS.toNanos(waitMs);
         deadlineTimer =
                 Optional.of(services.loop().eventLoop().schedule(this::onDeadline, waitMs, TimeUnit.MILLISECONDS));
@@ -140,7 +141,10 @@
             return;
         }
         if (!isKeyFresh(nowNanos)) {
-            failOrRefuse(ErrorKind.NO_VIEW_LEASE, "the view with the API keys is too old", ErrorKind.STOPPING.retryAfterMs());
+            failOrRefuse(
+                    ErrorKind.NO_VIEW_LEASE,
+                    "the view with the API keys is too old",
+                    ErrorKind.STOPPING.retryAfterMs());
             return;
         }
         final Placement placement = place(mayHaveRun > 0, remainingMs, nowNanos);
@@ -148,7 +152,8 @@
             final boolean busy = placement.refusal().equals(Optional.of(Placement.Refusal.ALL_BUSY));
             failOrRefuse(
                     busy ? ErrorKind.NO_FREE_SLOT : ErrorKind.NO_WHOLE_GROUP,
-                    (busy ? "no free slot at any of " : "no usable endpoint among ") + placement.candidates() + " endpoints of "
+                    (busy ? "no free slot at any of " : "no usable endpoint among ") + placement.candidates()
+                            + " endpoints of "
                             + service.orElseThrow().name() + " for "
                             + model().map(ModelVersionName::value).orElse("requests without a model"),
                     placement.retryAfterMs());
@@ -190,7 +195,8 @@
         attempts++;
         triedVms.add(endpoint.vm().vm());
         log.sent(organisation, route.orElseThrow().name(), placement, remainingMs);
-        final EndpointAttempt attempt = new EndpointAttempt(this, endpoint, services.registry().engine(model()), placement.predictedMs(), nowNanos);
+        final EndpointAttempt attempt = new EndpointAttempt(
+                this, endpoint, services.registry().engine(model()), placement.predictedMs(), nowNanos);
         currentAttempt = Optional.of(attempt);
         endpoint.sent(nowNanos);
         final SendTerms metadata =
@@ -202,7 +208,9 @@
 
     private Optional<ModelVersionName> model() {
         final boolean servesModels = service.flatMap(PublishedService::engine).isPresent();
-        return servesModels ? request.model().filter(name -> !name.isBlank()).map(Exchange::modelName) : Optional.empty();
+        return servesModels
+                ? request.model().filter(name -> !name.isBlank()).map(Exchange::modelName)
+                : Optional.empty();
     }
 
     private static ModelVersionName modelName(String text) {
--- a/src/main/java/org/wigeongrade/fleet/entry/ViewPuller.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/ViewPuller.java
@@ -111,7 +111,8 @@
                 return true;
             }
             restoreCrashes(request.getCrashes());
-            knownLeader = Optional.of(reply.getLeader()).filter(leader -> !leader.isEmpty() && !leader.equals(controlVm));
+            knownLeader =
+                    Optional.of(reply.getLeader()).filter(leader -> !leader.isEmpty() && !leader.equals(controlVm));
         } catch (TException | IllegalArgumentException e) {
             restoreCrashes(request.getCrashes());
             knownLeader = Optional.empty();
--- a/src/main/java/org/wigeongrade/fleet/net/CallServer.java
+++ b/src/main/java/org/wigeongrade/fleet/net/CallServer.java
@@ -43,7 +43,10 @@
                     if (failure != null) {
                         LOGGER.log(Level.WARNING, "request " + request.uri() + " failed", failure);
                     }
-                    write(context, failure == null ? reply : HttpReply.text(INTERNAL_ERROR, "internal error\n"), keepAlive);
+                    write(
+                            context,
+                            failure == null ? reply : HttpReply.text(INTERNAL_ERROR, "internal error\n"),
+                            keepAlive);
                 }));
     }
 
--- a/src/test/java/org/wigeongrade/fleet/entry/EndpointResponseHandlerTest.java
+++ b/src/test/java/org/wigeongrade/fleet/entry/EndpointResponseHandlerTest.java
@@ -30,7 +30,8 @@
     private final List<String> reported = new ArrayList<>();
     private final List<Long> keptIdleMs = new ArrayList<>();
     private final EmbeddedChannel channel = new EmbeddedChannel(
-            new HttpClientCodec(), new EndpointResponseHandler(new CallerMessages(), (connection, idleMs) -> keptIdleMs.add(idleMs)));
+            new HttpClientCodec(),
+            new EndpointResponseHandler(new CallerMessages(), (connection, idleMs) -> keptIdleMs.add(idleMs)));
 
     @Test
     void completeResponseEndsTheCallAndKeepsTheConnection() {
