--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointConnectionPool.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointConnectionPool.java
@@ -29,7 +29,7 @@
  *
  * <p>Invariants: a connection carries one request at a time; a connection with a failure, a cancelled request, a
  * response without a length or unsolicited bytes is closed and never reused; a request that must not run twice gets a
- * new connection, so that it is never written to one that the endpoint has already closed.
+ * new connection, so that the request is never written to a connection that the endpoint has already closed.
  */
 final class EndpointConnectionPool {
     /** Timeout for opening a connection, in milliseconds; the network delay to endpoints is a few milliseconds. */
