--- a/src/main/java/org/wigeongrade/disk/AtomicFile.java
+++ b/src/main/java/org/wigeongrade/disk/AtomicFile.java
@@ -9,12 +9,13 @@
 import java.util.zip.CRC32C;
 
 /**
- * A small file that is replaced as a whole: magic number, CRC32C of the content, content.
+ * A small file that is always replaced as a whole. It consists of a magic number, the CRC32C of the content, and the
+ * content.
  *
- * <p>Invariant: after a crash it holds the old or the new content. Not thread safe.
+ * <p>Invariant: after a crash the file holds either the old or the new content. Not thread safe.
  */
 final class AtomicFile {
-    private static final int HEAD_BYTES = 8;
+    private static final int HEADER_BYTES = 8;
 
     private final Path path;
     private final int magic;
@@ -26,34 +27,37 @@
         this.files = files;
     }
 
-    /** Replaces the content and returns once it is durable. */
+    /** Replaces the content. Returns once the new content is durable. */
     void replace(byte[] content) throws IOException {
-        ByteBuffer head = ByteBuffer.allocate(HEAD_BYTES);
-        head.putInt(magic).putInt(crc(content)).flip();
-        Path temporary = path.resolveSibling(path.getFileName() + ".new");
-        try (FileChannel channel = files.create(temporary)) {
-            files.write(channel, head);
+        ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
+        header.putInt(magic).putInt(crc(content)).flip();
+        Path temporaryPath = path.resolveSibling(path.getFileName() + ".new");
+        try (FileChannel channel = files.create(temporaryPath)) {
+            files.write(channel, header);
             files.write(channel, ByteBuffer.wrap(content));
             files.sync(channel);
         }
-        files.rename(temporary, path);
+        files.rename(temporaryPath, path);
         files.syncFolder(path.toAbsolutePath().getParent());
     }
 
-    /** Reads the content, empty if there is no file; throws {@link DiskLostException} if it is damaged. */
+    /**
+     * Returns the content, or empty if the file does not exist; throws {@link DataLossException} if the file is
+     * damaged.
+     */
     Optional<byte[]> read() throws IOException {
         if (!Files.exists(path)) {
             return Optional.empty();
         }
-        ByteBuffer whole = ByteBuffer.wrap(Files.readAllBytes(path));
-        if (whole.remaining() < HEAD_BYTES || whole.getInt() != magic) {
-            throw new DiskLostException(path + " is not a file of this kind");
+        ByteBuffer buffer = ByteBuffer.wrap(Files.readAllBytes(path));
+        if (buffer.remaining() < HEADER_BYTES || buffer.getInt() != magic) {
+            throw new DataLossException(path + " is too short or has the wrong magic number");
         }
-        int expected = whole.getInt();
-        byte[] content = new byte[whole.remaining()];
-        whole.get(content);
-        if (crc(content) != expected) {
-            throw new DiskLostException(path + " is damaged");
+        int expectedCrc = buffer.getInt();
+        byte[] content = new byte[buffer.remaining()];
+        buffer.get(content);
+        if (crc(content) != expectedCrc) {
+            throw new DataLossException(path + " is damaged: its checksum does not match");
         }
         return Optional.of(content);
     }
--- a/src/main/java/org/wigeongrade/disk/DiskFailures.java
+++ b/src/main/java/org/wigeongrade/disk/DiskFailures.java
@@ -6,17 +6,17 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
 
-/** Turns failed file system calls into errors that tell the reader the fix. Stateless. */
+/** Converts failed file system calls into exceptions whose message states the remedy. Stateless. */
 final class DiskFailures {
     private DiskFailures() {}
 
-    /** Returns the error for a failed call on a file of the data folder. */
-    static WigeongradeException failed(Path path, IOException cause) {
-        String fix = isFull(cause)
+    /** Returns the exception for a failed call on a file of the data folder. */
+    static WigeongradeException toException(Path path, IOException cause) {
+        String remedy = isFull(cause)
                 ? "the disk is full: free space on it, then start this VM again"
-                : "check the disk, then start this VM again; its files are read afresh then";
+                : "check the disk, then start this VM again; it rereads its files at startup";
         return new WigeongradeException(
-                ErrorKind.DISK_FAILED, path + " failed: " + cause.getMessage() + "; " + fix, cause);
+                ErrorKind.DISK_FAILED, path + " failed: " + cause.getMessage() + "; " + remedy, cause);
     }
 
     private static boolean isFull(IOException cause) {
--- a/src/main/java/org/wigeongrade/disk/FileOperations.java
+++ b/src/main/java/org/wigeongrade/disk/FileOperations.java
@@ -9,20 +9,20 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The file system calls whose failure matters. The default methods go to the system; tests override single ones. Thread
- * safe.
+ * The file system calls whose failures must be handled. The default methods call the operating system; tests override
+ * some of them to inject failures. Thread safe.
  */
 public interface FileOperations {
-    /** The system's own calls. */
+    /** Calls the operating system. */
     FileOperations SYSTEM = new FileOperations() {};
 
-    /** Creates a file or empties it, and opens it for writing. */
+    /** Creates a file, or truncates an existing one, and opens it for writing. */
     default FileChannel create(Path path) throws IOException {
         return FileChannel.open(
                 path, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
     }
 
-    /** Writes all the bytes. */
+    /** Writes all remaining bytes of the buffer. */
     default void write(FileChannel channel, ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
             channel.write(bytes);
@@ -34,12 +34,12 @@
         channel.force(false);
     }
 
-    /** Renames a file over another one. */
+    /** Atomically renames a file and replaces the target if it exists. */
     default void rename(Path from, Path to) throws IOException {
         Files.move(from, to, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Returns once the names in a folder are durable. */
+    /** Returns once the folder's directory entries are durable. */
     default void syncFolder(Path folder) throws IOException {
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             channel.force(true);
--- a/src/main/java/org/wigeongrade/disk/FolderLock.java
+++ b/src/main/java/org/wigeongrade/disk/FolderLock.java
@@ -9,7 +9,10 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
 
-/** Holds a data folder for one process. Invariant: at most one open lock for each folder. Not thread safe. */
+/**
+ * An exclusive lock of one process on a data folder. Invariant: at most one lock is open for each folder. Not thread
+ * safe.
+ */
 final class FolderLock implements AutoCloseable {
     private static final String FILE_NAME = "lock";
 
@@ -19,24 +22,24 @@
         this.channel = channel;
     }
 
-    /** Takes the lock; fails with DISK_FAILED if another process holds it. */
-    static FolderLock take(Path folder) {
+    /** Acquires the lock; fails with DISK_FAILED if another process holds it. */
+    static FolderLock acquire(Path folder) {
         Path path = folder.resolve(FILE_NAME);
         try {
             FileChannel channel = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            if (!isLocked(channel)) {
+            if (!tryLock(channel)) {
                 channel.close();
                 throw new WigeongradeException(
                         ErrorKind.DISK_FAILED,
-                        "data folder " + folder + " is in use by another process; stop that one");
+                        "data folder " + folder + " is in use by another process; stop that process");
             }
             return new FolderLock(channel);
         } catch (IOException e) {
-            throw DiskFailures.failed(path, e);
+            throw DiskFailures.toException(path, e);
         }
     }
 
-    private static boolean isLocked(FileChannel channel) throws IOException {
+    private static boolean tryLock(FileChannel channel) throws IOException {
         try {
             FileLock lock = channel.tryLock();
             return lock != null;
@@ -50,7 +53,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            throw DiskFailures.failed(Path.of(FILE_NAME), e);
+            throw DiskFailures.toException(Path.of(FILE_NAME), e);
         }
     }
 }
--- a/src/main/java/org/wigeongrade/disk/Frame.java
+++ b/src/main/java/org/wigeongrade/disk/Frame.java
@@ -5,52 +5,55 @@
 import java.util.zip.CRC32C;
 
 /**
- * One synced batch in the log file: magic number, content length, sequence number, CRC32C of length, sequence number and
- * content, content.
+ * The encoding of one synced batch in the log file: magic number, content length, sequence number, CRC32C (of length,
+ * sequence number and content), and the content.
  *
- * <p>Invariant: a batch is one frame, so a crash leaves at most the last frame torn. Stateless.
+ * <p>Invariant: each batch is one frame, so a crash leaves at most the last frame torn. Stateless.
  */
 final class Frame {
     static final int MAGIC = 0x57474c46;
-    static final int HEAD_BYTES = 4 + 4 + 8 + 4;
+    static final int HEADER_BYTES = 4 + 4 + 8 + 4;
 
     private Frame() {}
 
     static ByteBuffer encode(long sequence, byte[] content) {
-        ByteBuffer frame = ByteBuffer.allocate(HEAD_BYTES + content.length);
+        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + content.length);
         frame.putInt(MAGIC).putInt(content.length).putLong(sequence);
         frame.putInt(crc(content.length, sequence, content)).put(content);
         return frame.flip();
     }
 
-    /** Returns the content of a whole, undamaged frame at an offset. */
+    /**
+     * Returns the content of the frame at the offset, or empty if there is no complete, undamaged frame with that
+     * sequence number.
+     */
     static Optional<byte[]> read(ByteBuffer file, int offset, long sequence) {
-        return read(file, offset).filter(found -> found.sequence() == sequence).map(Found::content);
+        return read(file, offset).filter(frame -> frame.sequence() == sequence).map(DecodedFrame::content);
     }
 
-    /** Returns whether any whole, undamaged frame starts at an offset or after. */
-    static boolean anyFrom(ByteBuffer file, int offset) {
-        for (int at = offset; at <= file.limit() - HEAD_BYTES; at++) {
-            if (file.getInt(at) == MAGIC && read(file, at).isPresent()) {
+    /** Returns whether a complete, undamaged frame starts at or after the offset. */
+    static boolean existsAtOrAfter(ByteBuffer file, int offset) {
+        for (int candidate = offset; candidate <= file.limit() - HEADER_BYTES; candidate++) {
+            if (file.getInt(candidate) == MAGIC && read(file, candidate).isPresent()) {
                 return true;
             }
         }
         return false;
     }
 
-    private static Optional<Found> read(ByteBuffer file, int offset) {
-        if (file.limit() - offset < HEAD_BYTES || file.getInt(offset) != MAGIC) {
+    private static Optional<DecodedFrame> read(ByteBuffer file, int offset) {
+        if (file.limit() - offset < HEADER_BYTES || file.getInt(offset) != MAGIC) {
             return Optional.empty();
         }
         int length = file.getInt(offset + 4);
-        if (length < 0 || length > file.limit() - offset - HEAD_BYTES) {
+        if (length < 0 || length > file.limit() - offset - HEADER_BYTES) {
             return Optional.empty();
         }
         long sequence = file.getLong(offset + 8);
         byte[] content = new byte[length];
-        file.get(offset + HEAD_BYTES, content);
-        boolean whole = crc(length, sequence, content) == file.getInt(offset + 16);
-        return whole ? Optional.of(new Found(sequence, content)) : Optional.empty();
+        file.get(offset + HEADER_BYTES, content);
+        boolean checksumMatches = crc(length, sequence, content) == file.getInt(offset + 16);
+        return checksumMatches ? Optional.of(new DecodedFrame(sequence, content)) : Optional.empty();
     }
 
     private static int crc(int length, long sequence, byte[] content) {
@@ -61,5 +64,5 @@
     }
 
     @SuppressWarnings("ArrayRecordComponent") // never compared
-    private record Found(long sequence, byte[] content) {}
+    private record DecodedFrame(long sequence, byte[] content) {}
 }
--- a/src/main/java/org/wigeongrade/disk/LogFile.java
+++ b/src/main/java/org/wigeongrade/disk/LogFile.java
@@ -13,10 +13,11 @@
 import org.wigeongrade.decisions.log.Position;
 
 /**
- * The log file: a head frame with the folder's incarnation, the base position and the entries at the last rewrite, then one frame for each synced batch.
+ * The log file. It starts with a header frame, which holds the folder's incarnation, the base position and the entries
+ * at the last rewrite; one frame for each batch synced since then follows.
  *
- * <p>Invariants: an entry drops everything before it in the file with its index or a larger one; a torn last frame is
- * not part of the log. Not thread safe.
+ * <p>Invariants: an entry replaces all entries before it in the file that have the same or a larger index; a torn last
+ * frame is not part of the log. Not thread safe.
  */
 final class LogFile implements AutoCloseable {
     /** What the file holds. */
@@ -32,19 +33,22 @@
         this.files = files;
     }
 
-    /** Reads the file, empty if there is none; throws {@link DiskLostException} if it is damaged before its tail. */
+    /**
+     * Reads the file; returns empty if it does not exist. Throws {@link DataLossException} if it is damaged before its
+     * last frame.
+     */
     Optional<Content> read() throws IOException {
         if (!Files.exists(path)) {
             return Optional.empty();
         }
         ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(path));
-        byte[] head = Frame.read(file, 0, 0)
-                .orElseThrow(() -> new DiskLostException(path + " is damaged in its first record"));
-        RecordCodec.LogHead decoded = RecordCodec.decodeLogHead(head);
+        byte[] encodedHeader = Frame.read(file, 0, 0)
+                .orElseThrow(() -> new DataLossException(path + " is damaged in its header frame"));
+        RecordCodec.LogHeader header = RecordCodec.decodeLogHeader(encodedHeader);
         List<LogEntry> entries = new ArrayList<>();
-        addAll(entries, decoded.entries(), decoded.base());
-        readBatches(file, Frame.HEAD_BYTES + head.length, entries, decoded.base());
-        return Optional.of(new Content(decoded.incarnation(), decoded.base(), ImmutableList.copyOf(entries)));
+        applyBatch(entries, header.entries(), header.base());
+        readBatches(file, Frame.HEADER_BYTES + encodedHeader.length, entries, header.base());
+        return Optional.of(new Content(header.incarnation(), header.base(), ImmutableList.copyOf(entries)));
     }
 
     private void readBatches(ByteBuffer file, int firstOffset, List<LogEntry> entries, Position base) {
@@ -56,65 +60,70 @@
                 requireTornTail(file, offset);
                 break;
             }
-            addAll(entries, RecordCodec.decodeEntries(content.get()), base);
-            offset += Frame.HEAD_BYTES + content.get().length;
+            applyBatch(entries, RecordCodec.decodeEntries(content.get()), base);
+            offset += Frame.HEADER_BYTES + content.get().length;
             sequence++;
         }
     }
 
     private void requireTornTail(ByteBuffer file, int offset) {
-        if (Frame.anyFrom(file, offset)) {
-            throw new DiskLostException(path + " is damaged at byte " + offset + ", before its last record");
+        if (Frame.existsAtOrAfter(file, offset)) {
+            throw new DataLossException(path + " is damaged at byte " + offset + ", before its last frame");
         }
     }
 
-    private void addAll(List<LogEntry> entries, List<LogEntry> batch, Position base) {
+    private void applyBatch(List<LogEntry> entries, List<LogEntry> batch, Position base) {
         for (LogEntry entry : batch) {
-            long kept = entry.index() - base.index() - 1;
-            if (kept < 0 || kept > entries.size()) {
-                throw new DiskLostException(path + " has a gap before entry " + entry.index());
+            long keptCount = entry.index() - base.index() - 1;
+            if (keptCount < 0 || keptCount > entries.size()) {
+                throw new DataLossException(path + " has a gap before entry " + entry.index());
             }
-            entries.subList((int) kept, entries.size()).clear();
+            entries.subList((int) keptCount, entries.size()).clear();
             Position previous =
                     entries.isEmpty() ? base : entries.get(entries.size() - 1).position();
             if (!LogEntry.after(previous, entry.term(), entry.kind(), entry.payload())
                     .equals(entry)) {
-                throw new DiskLostException(path + " breaks its digest chain at entry " + entry.index());
+                throw new DataLossException(path + " has a wrong digest at entry " + entry.index());
             }
             entries.add(entry);
         }
     }
 
-    /** Replaces the file by one with this content and opens it for appends; durable on return. */
+    /**
+     * Replaces the file with one that has this content, and opens it for appending. The content is durable on return.
+     */
     void rewrite(Content content) throws IOException {
-        Path temporary = path.resolveSibling(path.getFileName() + ".new");
-        FileChannel next = files.create(temporary);
+        Path temporaryPath = path.resolveSibling(path.getFileName() + ".new");
+        FileChannel newChannel = files.create(temporaryPath);
         try {
-            byte[] head = RecordCodec.encodeLogHead(
-                    new RecordCodec.LogHead(content.incarnation(), content.base(), content.entries()));
-            files.write(next, Frame.encode(0, head));
+            byte[] encodedHeader = RecordCodec.encodeLogHeader(
+                    new RecordCodec.LogHeader(content.incarnation(), content.base(), content.entries()));
+            files.write(newChannel, Frame.encode(0, encodedHeader));
             nextSequence = 1;
-            files.sync(next);
-            files.rename(temporary, path);
+            files.sync(newChannel);
+            files.rename(temporaryPath, path);
             files.syncFolder(path.toAbsolutePath().getParent());
         } catch (IOException e) {
-            next.close();
+            newChannel.close();
             throw e;
         }
         close();
-        channel = Optional.of(next);
+        channel = Optional.of(newChannel);
     }
 
-    /** Appends the entries as one frame; durable on return. */
+    /** Appends the entries as one frame. They are durable on return. */
     void append(List<LogEntry> entries) throws IOException {
-        FileChannel open = channel.orElseThrow();
-        files.write(open, Frame.encode(nextSequence, RecordCodec.encodeEntries(entries)));
-        files.sync(open);
+        FileChannel openChannel = channel.orElseThrow();
+        files.write(openChannel, Frame.encode(nextSequence, RecordCodec.encodeEntries(entries)));
+        files.sync(openChannel);
         nextSequence++;
     }
 
-    /** Appends an empty frame, after which damage to the entries before it cannot pass as a torn tail. */
-    void mark() throws IOException {
+    /**
+     * Appends an empty frame. Damage to the entries before it is then detected as data loss, and not taken for a torn
+     * last frame.
+     */
+    void sealLastBatch() throws IOException {
         append(ImmutableList.of());
     }
 
--- a/src/main/java/org/wigeongrade/disk/LogStore.java
+++ b/src/main/java/org/wigeongrade/disk/LogStore.java
@@ -17,10 +17,10 @@
 import org.wigeongrade.errors.WigeongradeException;
 
 /**
- * One replica's data folder.
+ * The data folder of one replica.
  *
- * <p>Invariants: each method returns only once its change is durable; after one failed call every later one fails too,
- * until the folder is opened and read afresh; one process at a time holds the folder. Not thread safe.
+ * <p>Invariants: each method returns only once its change is durable; after a failed write every later write fails too,
+ * until the folder is opened and read again; only one process at a time has the folder open. Not thread safe.
  */
 public final class LogStore implements AutoCloseable {
     private static final String STATE_FILE = "state";
@@ -30,8 +30,8 @@
     private static final int STATE_MAGIC = 0x57475354;
     private static final int SNAPSHOT_MAGIC = 0x5747534e;
 
-    private interface Change {
-        void make() throws IOException;
+    private interface WriteOperation {
+        void run() throws IOException;
     }
 
     private final Path folder;
@@ -52,67 +52,76 @@
     }
 
     /**
-     * Opens a folder, or makes a new one under a new incarnation. Throws {@link DiskLostException} if the folder lost
-     * something, and fails with DISK_FAILED if it cannot be used.
+     * Opens a folder, or creates one with a new incarnation. Throws {@link DataLossException} if stored data is missing
+     * or damaged, and fails with DISK_FAILED if the folder cannot be used.
      */
     public static LogStore open(Path folder, FileOperations files, LongSupplier newIncarnation) {
         try {
             Files.createDirectories(folder);
         } catch (IOException e) {
-            throw DiskFailures.failed(folder, e);
+            throw DiskFailures.toException(folder, e);
         }
-        FolderLock lock = FolderLock.take(folder);
+        FolderLock lock = FolderLock.acquire(folder);
         LogStore store = new LogStore(folder, lock, files);
         try {
             store.recover(newIncarnation);
             return store;
         } catch (IOException e) {
             lock.close();
-            throw DiskFailures.failed(folder, e);
+            throw DiskFailures.toException(folder, e);
         } catch (RuntimeException e) {
             lock.close();
             throw e;
         }
     }
 
-    /** Moves a lost folder's files into a subfolder, so that the next open starts a new incarnation that may not bootstrap. */
-    public static void setAside(Path folder, FileOperations files) {
-        try (FolderLock held = FolderLock.take(folder)) {
-            Path aside = Files.createDirectory(nextLostFolder(folder));
+    /**
+     * Moves the files of a folder with data loss into a subfolder, so that the next open starts a new incarnation that
+     * may not bootstrap.
+     */
+    public static void moveToLostFolder(Path folder, FileOperations files) {
+        try (FolderLock held = FolderLock.acquire(folder)) {
+            Path lostFolder = Files.createDirectory(nextLostFolder(folder));
             for (String name : ImmutableList.of(LOG_FILE, SNAPSHOT_FILE, STATE_FILE)) {
                 if (Files.exists(folder.resolve(name))) {
-                    files.rename(folder.resolve(name), aside.resolve(name));
+                    files.rename(folder.resolve(name), lostFolder.resolve(name));
                 }
             }
-            files.syncFolder(aside);
+            files.syncFolder(lostFolder);
             files.syncFolder(folder);
         } catch (IOException e) {
-            throw DiskFailures.failed(folder, e);
+            throw DiskFailures.toException(folder, e);
         }
     }
 
-    /** Returns what the folder held when it was opened. */
+    /** Returns the state that the folder held when it was opened. */
     public RecoveredState recovered() {
         return recovered;
     }
 
+    /** Stores the term and the vote. */
     public void saveHardState(HardState hardState) {
-        change(() -> writeState(hardState));
+        runDurably(() -> writeState(hardState));
     }
 
-    /** Appends entries and syncs once; an entry drops everything stored at its index and after. */
+    /** Appends entries and syncs once. An entry replaces all stored entries from its index on. */
     public void append(List<LogEntry> entries) {
-        change(() -> logFile.append(entries));
+        runDurably(() -> logFile.append(entries));
     }
 
-    /** Closes the last batch, so that later damage to it makes the folder lost and does not pass as a torn tail. */
-    public void mark() {
-        change(logFile::mark);
+    /**
+     * Seals the last batch, so that later damage to it is detected as data loss, and not taken for a torn last frame.
+     */
+    public void sealLastBatch() {
+        runDurably(logFile::sealLastBatch);
     }
 
-    /** Stores a snapshot and replaces the log by the entries after a base that is not past it. */
+    /**
+     * Stores a snapshot and replaces the log with the entries after {@code base}, which is at or before the position of
+     * the snapshot.
+     */
     public void saveSnapshot(Snapshot snapshot, Position base, List<LogEntry> entries) {
-        change(() -> {
+        runDurably(() -> {
             snapshotFile.replace(
                     RecordCodec.encodeSnapshot(new RecordCodec.StoredSnapshot(recovered.incarnation(), snapshot)));
             rewriteLog(base, entries);
@@ -124,7 +133,7 @@
         try {
             return logFile.sizeBytes();
         } catch (IOException e) {
-            throw DiskFailures.failed(folder, e);
+            throw DiskFailures.toException(folder, e);
         }
     }
 
@@ -133,7 +142,7 @@
         try {
             logFile.close();
         } catch (IOException e) {
-            throw DiskFailures.failed(folder, e);
+            throw DiskFailures.toException(folder, e);
         } finally {
             lock.close();
         }
@@ -143,15 +152,15 @@
         Optional<RecordCodec.FolderState> state = stateFile.read().map(RecordCodec::decodeState);
         Optional<RecordCodec.StoredSnapshot> snapshot = snapshotFile.read().map(RecordCodec::decodeSnapshot);
         Optional<LogFile.Content> log = logFile.read();
-        boolean unused = snapshot.isEmpty()
+        boolean holdsNoData = snapshot.isEmpty()
                 && log.map(content -> content.entries().isEmpty()).orElse(true);
-        if (state.isEmpty() && unused) {
-            recovered = RecoveredState.fresh(newIncarnation.getAsLong(), lostFolders(folder) == 0);
+        if (state.isEmpty() && holdsNoData) {
+            recovered = RecoveredState.fresh(newIncarnation.getAsLong(), countLostFolders(folder) == 0);
             rewriteLog(Position.START, ImmutableList.of());
             writeState(HardState.INITIAL);
             return;
         }
-        recovered = FolderCheck.join(folder, state, snapshot, log);
+        recovered = DataFolderRecovery.recover(folder, state, snapshot, log);
         rewriteLog(recovered.base(), recovered.entries());
     }
 
@@ -164,16 +173,17 @@
                 new RecordCodec.FolderState(recovered.incarnation(), recovered.mayBootstrap(), hardState)));
     }
 
-    private void change(Change change) {
+    private void runDurably(WriteOperation operation) {
         if (failed) {
             throw new WigeongradeException(
-                    ErrorKind.DISK_FAILED, "data folder " + folder + " failed before; start this VM again");
+                    ErrorKind.DISK_FAILED,
+                    "data folder " + folder + " failed on an earlier write; start this VM again");
         }
         try {
-            change.make();
+            operation.run();
         } catch (IOException e) {
             failed = true;
-            throw DiskFailures.failed(folder, e);
+            throw DiskFailures.toException(folder, e);
         }
     }
 
@@ -185,10 +195,10 @@
         return folder.resolve(LOST_PREFIX + number);
     }
 
-    private static long lostFolders(Path folder) throws IOException {
+    private static long countLostFolders(Path folder) throws IOException {
         long count = 0;
-        try (DirectoryStream<Path> found = Files.newDirectoryStream(folder, LOST_PREFIX + "*")) {
-            for (Path unused : found) {
+        try (DirectoryStream<Path> folders = Files.newDirectoryStream(folder, LOST_PREFIX + "*")) {
+            for (Path unused : folders) {
                 count++;
             }
         }
--- a/src/main/java/org/wigeongrade/disk/RecordCodec.java
+++ b/src/main/java/org/wigeongrade/disk/RecordCodec.java
@@ -19,16 +19,19 @@
 import org.wigeongrade.decisions.log.Snapshot;
 import org.wigeongrade.ids.NodeName;
 
-/** Writes and reads what the files hold. Every reader throws {@link DiskLostException} on malformed bytes. Stateless. */
+/**
+ * Encodes and decodes the contents of the files. Every decode method throws {@link DataLossException} on malformed
+ * bytes. Stateless.
+ */
 final class RecordCodec {
-    /** Term, vote and the identity of the folder. */
+    /** The identity of the folder, and the term and vote. */
     record FolderState(long incarnation, boolean mayBootstrap, HardState hardState) {}
 
-    /** A snapshot with the incarnation of the folder it was written in. */
+    /** A snapshot and the incarnation of the folder that it was written in. */
     record StoredSnapshot(long incarnation, Snapshot snapshot) {}
 
-    /** The first record of a log file. */
-    record LogHead(long incarnation, Position base, ImmutableList<LogEntry> entries) {}
+    /** The content of the header frame of a log file. */
+    record LogHeader(long incarnation, Position base, ImmutableList<LogEntry> entries) {}
 
     private interface Writer {
         void write(DataOutputStream out) throws IOException;
@@ -78,19 +81,19 @@
         });
     }
 
-    static byte[] encodeLogHead(LogHead head) {
+    static byte[] encodeLogHeader(LogHeader header) {
         return encode(out -> {
-            out.writeLong(head.incarnation());
-            writePosition(out, head.base());
-            writeEntries(out, head.entries());
+            out.writeLong(header.incarnation());
+            writePosition(out, header.base());
+            writeEntries(out, header.entries());
         });
     }
 
-    static LogHead decodeLogHead(byte[] bytes) {
+    static LogHeader decodeLogHeader(byte[] bytes) {
         return decode(bytes, in -> {
             long incarnation = in.readLong();
             Position base = readPosition(in);
-            return new LogHead(incarnation, base, readEntries(in));
+            return new LogHeader(incarnation, base, readEntries(in));
         });
     }
 
@@ -145,7 +148,7 @@
     private static Bytes readBytes(DataInputStream in) throws IOException {
         int sizeBytes = in.readInt();
         if (sizeBytes < 0 || sizeBytes > in.available()) {
-            throw new EOFException("size " + sizeBytes + " is past the end");
+            throw new EOFException("size " + sizeBytes + " is negative or beyond the end of the record");
         }
         return Bytes.wrap(in.readNBytes(sizeBytes));
     }
@@ -164,7 +167,7 @@
         try {
             return reader.read(new DataInputStream(new ByteArrayInputStream(bytes)));
         } catch (IOException | IllegalArgumentException e) {
-            throw new DiskLostException("a record with a good checksum is malformed: " + e.getMessage(), e);
+            throw new DataLossException("a record with a valid checksum is malformed: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/org/wigeongrade/disk/package-info.java
+++ b/src/main/java/org/wigeongrade/disk/package-info.java
@@ -1,2 +1,2 @@
-/** The replicated log's files: log, snapshot, and the term with the vote, under one data folder. */
+/** Stores the replicated log in a data folder: the log, the snapshot, and the term with the vote. */
 package org.wigeongrade.disk;
--- a/src/main/java/org/wigeongrade/nodes/AnnouncementRecords.java
+++ b/src/main/java/org/wigeongrade/nodes/AnnouncementRecords.java
@@ -15,12 +15,12 @@
 import org.wigeongrade.ids.VmName;
 import org.wigeongrade.nodes.thrift.AnnouncementRecord;
 
-/** Reads announcements from their Thrift form. Stateless; safe for use from any thread. */
+/** Converts announcements from their Thrift form. Stateless; safe for use from any thread. */
 public final class AnnouncementRecords {
     private AnnouncementRecords() {}
 
-    /** Returns the announcement with its lease deadline on the reader's monotonic clock. */
-    public static Announcement read(AnnouncementRecord record, long leaseDeadlineNanos) {
+    /** Returns the announcement. {@code leaseDeadlineNanos} is on the monotonic clock of this VM. */
+    public static Announcement fromThrift(AnnouncementRecord record, long leaseDeadlineNanos) {
         return new Announcement(
                 new VmIncarnation(new VmName(record.getVm()), record.getIncarnation()),
                 record.getAddress(),
--- a/src/main/java/org/wigeongrade/nodes/ColdSigns.java
+++ b/src/main/java/org/wigeongrade/nodes/ColdSigns.java
@@ -11,9 +11,10 @@
 import org.wigeongrade.nodes.entry.EntryRole;
 
 /**
- * Spreads signs that an endpoint turned cold: this VM drops its slots at once and tells every other entry VM directly.
+ * Broadcasts signs that an endpoint turned cold: this VM drops its slots at that endpoint at once and notifies every
+ * other entry VM directly.
  *
- * <p>Thread safe: holds no state; calls to peers run on the given workers.
+ * <p>Thread safe: holds no state; the calls to peers run on the given executor.
  */
 public final class ColdSigns {
     private static final int TIMEOUT_MS = 500;
@@ -21,31 +22,34 @@
     private final EntryRole entry;
     private final ImmutableMap<NodeName, PeerClient> peers;
     private final ExecutorService workers;
-    private final Runnable pullSoon;
+    private final Runnable requestPull;
     private final EventLog events;
 
     public ColdSigns(
             EntryRole entry,
             Map<NodeName, PeerClient> peers,
             ExecutorService workers,
-            Runnable pullSoon,
+            Runnable requestPull,
             EventLog events) {
         this.entry = entry;
         this.peers = ImmutableMap.copyOf(peers);
         this.workers = workers;
-        this.pullSoon = pullSoon;
+        this.requestPull = requestPull;
         this.events = events;
     }
 
-    /** Reacts to a sign that this VM saw itself. */
+    /**
+     * Handles a cold sign that this VM itself observed: drops its slots at the endpoint, requests a pull and notifies
+     * the peers.
+     */
     public void seen(EndpointId endpoint, String cause, int coldSlots) {
         entry.coldSign(endpoint);
-        pullSoon.run();
+        requestPull.run();
         events.write(LogEvent.ENDPOINT_COLD, endpoint, cause, coldSlots);
-        peers.forEach((name, peer) -> workers.execute(() -> tell(name, peer, endpoint)));
+        peers.forEach((name, peer) -> workers.execute(() -> notifyPeer(name, peer, endpoint)));
     }
 
-    private void tell(NodeName name, PeerClient peer, EndpointId endpoint) {
+    private void notifyPeer(NodeName name, PeerClient peer, EndpointId endpoint) {
         try {
             peer.call(TIMEOUT_MS, client -> {
                 client.coldSign(endpoint.value(), entry.self().value());
--- a/src/main/java/org/wigeongrade/nodes/ConfigurationView.java
+++ b/src/main/java/org/wigeongrade/nodes/ConfigurationView.java
@@ -11,7 +11,7 @@
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.ids.Revision;
 
-/** One configuration revision as entry VMs get it. Immutable; safe for use from any thread. */
+/** One revision of the configuration, as it is sent to entry VMs. Immutable; safe for use from any thread. */
 public record ConfigurationView(Revision revision, DeclaredSet declaredSet, List<ZoneEntry> zones) {
     /** The configuration before any change. */
     public static final ConfigurationView EMPTY = new ConfigurationView(Revision.NONE, DeclaredSet.EMPTY, List.of());
@@ -22,7 +22,7 @@
         zones = List.copyOf(zones);
     }
 
-    /** Returns whether endpoints in the zone may be sent new work. */
+    /** Returns whether new work may be sent to endpoints in the zone. */
     public boolean takesNewWork(AvailabilityZone zone) {
         return zones.stream()
                 .filter(entry -> entry.zone().equals(zone))
@@ -30,21 +30,21 @@
                 .allMatch(ZoneState::takesNewWork);
     }
 
-    /** Returns the JSON form in UTF-8. */
+    /** Returns the configuration as JSON in UTF-8. */
     public byte[] encode() {
         try {
             return MAPPER.writeValueAsBytes(this);
         } catch (JsonProcessingException failure) {
-            throw new UncheckedIOException("the configuration cannot be written", failure);
+            throw new UncheckedIOException("the configuration cannot be encoded as JSON", failure);
         }
     }
 
-    /** Reads the JSON form; throws {@link UncheckedIOException} if it is malformed. */
+    /** Parses the JSON form; throws {@link UncheckedIOException} if it is malformed. */
     public static ConfigurationView decode(byte[] json) {
         try {
             return MAPPER.readValue(json, ConfigurationView.class);
         } catch (IOException failure) {
-            throw new UncheckedIOException("the configuration cannot be read", failure);
+            throw new UncheckedIOException("the configuration is not valid JSON or has an unexpected form", failure);
         }
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/ControlLink.java
+++ b/src/main/java/org/wigeongrade/nodes/ControlLink.java
@@ -21,10 +21,10 @@
 import org.wigeongrade.nodes.thrift.PullRequest;
 
 /**
- * Finds the leader of the control VMs and calls it, in this process or over Thrift.
+ * Client of the leader of the control VMs: finds the leader and calls it, within this process or over Thrift.
  *
- * <p>Invariant: a command is proposed again only if it is idempotent, which every control command is: it carries a change
- * id, a request id or a fencing token. Thread safe; {@code leaderHint} is the only state and may be stale.
+ * <p>Invariant: only idempotent commands are proposed again. Every control command is idempotent, since it carries a
+ * change id, a request id or a fencing token. Thread safe; {@code leaderHint} is the only state and may be stale.
  */
 public final class ControlLink {
     private static final int PULL_TIMEOUT_MS = 700;
@@ -32,7 +32,7 @@
     private static final long RETRY_PAUSE_MS = 100;
 
     private final NodeName self;
-    private final Optional<ControlRole> local;
+    private final Optional<ControlRole> localControl;
     private final ImmutableMap<NodeName, PeerClient> controlPeers;
     private final LongSupplier nanoClock;
     private volatile Optional<NodeName> leaderHint = Optional.empty();
@@ -40,24 +40,24 @@
     /** {@code controlPeers} are the other control VMs. */
     public ControlLink(
             NodeName self,
-            Optional<ControlRole> local,
+            Optional<ControlRole> localControl,
             Map<NodeName, PeerClient> controlPeers,
             LongSupplier nanoClock) {
         this.self = self;
-        this.local = local;
+        this.localControl = localControl;
         this.controlPeers = ImmutableMap.copyOf(controlPeers);
         this.nanoClock = nanoClock;
     }
 
-    /** Returns the leader as last seen. */
+    /** Returns the last known leader; it may be stale. */
     public Optional<NodeName> leader() {
         return leaderHint;
     }
 
-    /** Pulls from the leader; empty if none of the control VMs answered as leader. */
+    /** Pulls from the leader; returns empty if no control VM answered as leader. */
     public Optional<PullReply> pull(PullRequest request) {
         final List<NodeName> tried = new ArrayList<>();
-        Optional<NodeName> next = firstTarget();
+        Optional<NodeName> next = firstCandidate();
         while (next.isPresent()) {
             tried.add(next.get());
             final Optional<PullReply> reply = pullFrom(next.get(), request);
@@ -69,54 +69,54 @@
                     .filter(name -> !name.isEmpty())
                     .map(NodeName::new)
                     .filter(name -> !tried.contains(name))
-                    .or(() -> untried(tried));
+                    .or(() -> firstUntried(tried));
         }
         leaderHint = Optional.empty();
         return Optional.empty();
     }
 
     /**
-     * Proposes a command to the leader, again until a result is known or the deadline passes.
+     * Proposes a command to the leader, and retries until the result is known or the deadline passes.
      *
-     * @throws WigeongradeException with kind CONTROL_UNAVAILABLE if the command surely took no effect, OUTCOME_UNKNOWN if
-     *     it may take effect
+     * @throws WigeongradeException with kind CONTROL_UNAVAILABLE if the command certainly had no effect,
+     *     OUTCOME_UNKNOWN if it may have or may still take effect
      */
     public CommandResult submit(Command command, long deadlineNanos) {
         final byte[] encoded = ControlCodec.encode(command);
         boolean mayTakeEffect = false;
-        WigeongradeException last =
+        WigeongradeException lastFailure =
                 new WigeongradeException(ErrorKind.CONTROL_UNAVAILABLE, "no control VM answered before the deadline");
         while (nanoClock.getAsLong() - deadlineNanos < 0) {
-            for (final NodeName node : targets()) {
+            for (final NodeName node : candidates()) {
                 try {
                     final CommandResult result = ControlCodec.decodeResult(submitTo(node, encoded));
                     leaderHint = Optional.of(node);
                     return result;
                 } catch (WigeongradeException failure) {
-                    last = failure;
+                    lastFailure = failure;
                     mayTakeEffect |= failure.kind() != ErrorKind.CONTROL_UNAVAILABLE;
                 }
             }
             Uninterruptibles.sleepUninterruptibly(RETRY_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
         final ErrorKind kind = mayTakeEffect ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.CONTROL_UNAVAILABLE;
-        throw new WigeongradeException(kind, last.getMessage(), last);
+        throw new WigeongradeException(kind, lastFailure.getMessage(), lastFailure);
     }
 
-    private Optional<NodeName> firstTarget() {
-        return targets().stream().findFirst();
+    private Optional<NodeName> firstCandidate() {
+        return candidates().stream().findFirst();
     }
 
-    private Optional<NodeName> untried(List<NodeName> tried) {
-        return targets().stream().filter(name -> !tried.contains(name)).findFirst();
+    private Optional<NodeName> firstUntried(List<NodeName> tried) {
+        return candidates().stream().filter(name -> !tried.contains(name)).findFirst();
     }
 
-    /** Returns the control VMs, the leader as last seen first. */
-    private ImmutableList<NodeName> targets() {
+    /** Returns the control VMs, starting with the last known leader. */
+    private ImmutableList<NodeName> candidates() {
         final ImmutableList.Builder<NodeName> names = ImmutableList.builder();
         leaderHint.ifPresent(names::add);
-        local.flatMap(ControlRole::leader).ifPresent(names::add);
-        if (local.isPresent()) {
+        localControl.flatMap(ControlRole::leader).ifPresent(names::add);
+        if (localControl.isPresent()) {
             names.add(self);
         }
         names.addAll(controlPeers.keySet());
@@ -126,7 +126,7 @@
     private Optional<PullReply> pullFrom(NodeName node, PullRequest request) {
         try {
             if (node.equals(self)) {
-                return local.map(control -> control.pull(request));
+                return localControl.map(control -> control.pull(request));
             }
             return Optional.ofNullable(controlPeers.get(node))
                     .map(peer -> peer.call(PULL_TIMEOUT_MS, client -> client.pull(request)));
@@ -137,7 +137,7 @@
 
     private byte[] submitTo(NodeName node, byte[] command) {
         if (node.equals(self)) {
-            return local.orElseThrow(() -> unknownNode(node)).submit(command);
+            return localControl.orElseThrow(() -> unknownNode(node)).submit(command);
         }
         final PeerClient peer = controlPeers.get(node);
         if (peer == null) {
@@ -151,6 +151,7 @@
 
     private static WigeongradeException unknownNode(NodeName node) {
         return new WigeongradeException(
-                ErrorKind.CONTROL_UNAVAILABLE, "node '" + node + "' is no control VM of this VM's settings");
+                ErrorKind.CONTROL_UNAVAILABLE,
+                "node '" + node + "' is not listed as a control VM in this VM's settings");
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/CrashRecords.java
+++ b/src/main/java/org/wigeongrade/nodes/CrashRecords.java
@@ -19,7 +19,7 @@
 public final class CrashRecords {
     private CrashRecords() {}
 
-    public static CrashReportRecord write(CrashReport report, Collection<String> wantedTrials) {
+    public static CrashReportRecord toThrift(CrashReport report, Collection<String> wantedTrials) {
         final CrashReportRecord record = new CrashReportRecord();
         record.setSequence(report.sequence());
         record.setLosses(report.losses().stream()
@@ -32,7 +32,7 @@
         return record;
     }
 
-    public static CrashReport read(CrashReportRecord record) {
+    public static CrashReport fromThrift(CrashReportRecord record) {
         return new CrashReport(
                 record.getSequence(),
                 record.getLosses().stream()
@@ -43,15 +43,18 @@
                         .collect(ImmutableSet.toImmutableSet()));
     }
 
-    public static SuspectRecord write(SuspectList.Suspect suspect) {
+    public static SuspectRecord toThrift(SuspectList.Suspect suspect) {
         final SuspectRecord record =
                 new SuspectRecord(suspect.requestDigest(), suspect.endpointsLost(), suspect.trialNanos());
         suspect.trialHolder().ifPresent(holder -> record.setTrialHolder(holder.value()));
         return record;
     }
 
-    /** Reads the suspects of a pull reply; {@code quarantined} are the digests that the entry VM knows from it. */
-    public static SuspectList read(PullReply reply, Set<String> quarantined) {
+    /**
+     * Returns the suspects in a pull reply; {@code quarantined} are the quarantined digests that the entry VM knows
+     * after this reply.
+     */
+    public static SuspectList fromThrift(PullReply reply, Set<String> quarantined) {
         return new SuspectList(
                 reply.getAcknowledgedCrashSequence(),
                 reply.getSuspects().stream().map(CrashRecords::suspect).toList(),
--- a/src/main/java/org/wigeongrade/nodes/Explanations.java
+++ b/src/main/java/org/wigeongrade/nodes/Explanations.java
@@ -22,9 +22,10 @@
 import org.wigeongrade.nodes.entry.EntryRole;
 
 /**
- * Answers operators who ask for the fleet's status or why something was decided, by asking every process.
+ * Answers operators' questions about the status of the fleet and the reasons for decisions. Asks the leader for the
+ * status and every process for decisions.
  *
- * <p>Thread safe: holds no state of its own. Calls wait for other processes.
+ * <p>Thread safe: holds no state of its own. Its methods block while other processes answer.
  */
 public final class Explanations {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -36,7 +37,7 @@
     private final ImmutableMap<NodeName, PeerClient> peers;
     private final LocalExplanations local;
 
-    /** {@code peers} are all other processes. */
+    /** {@code peers} are all other processes of the fleet. */
     public Explanations(
             EntryRole entry, Optional<ControlRole> control, ControlLink link, Map<NodeName, PeerClient> peers) {
         this.entry = entry;
@@ -46,29 +47,29 @@
         this.local = new LocalExplanations(entry, control);
     }
 
-    /** Returns the leader's status as JSON; throws with kind CONTROL_UNAVAILABLE if no leader answers. */
+    /** Returns the leader's status report as JSON; throws with kind CONTROL_UNAVAILABLE if no leader answers. */
     public String status() {
         final NodeName leader = link.leader()
                 .orElseThrow(() -> new WigeongradeException(
-                        ErrorKind.CONTROL_UNAVAILABLE, "this entry VM knows no leader of the control VMs"));
+                        ErrorKind.CONTROL_UNAVAILABLE, "this entry VM does not know the leader of the control VMs"));
         if (leader.equals(entry.self()) && control.isPresent()) {
-            return new String(StatusReport.json(control.get()), StandardCharsets.UTF_8);
+            return new String(StatusReport.toJson(control.get()), StandardCharsets.UTF_8);
         }
-        return text(peers.get(leader).call(TIMEOUT_MS, client -> client.status()));
+        return decodeUtf8(peers.get(leader).call(TIMEOUT_MS, client -> client.status()));
     }
 
-    /** Returns {@code {"kind","id","decisions":[...],"unreachable":[...]}}, decisions in the order of time. */
+    /** Returns {@code {"kind","id","decisions":[...],"unreachable":[...]}}, with the decisions in order of time. */
     public String why(String kind, String id) {
         final List<JsonNode> decisions = new ArrayList<>();
         final ObjectNode answer = MAPPER.createObjectNode();
         answer.put("kind", kind);
         answer.put("id", id);
-        parse(new String(local.json(kind, id), StandardCharsets.UTF_8)).forEach(decisions::add);
+        parse(new String(local.explain(kind, id), StandardCharsets.UTF_8)).forEach(decisions::add);
         final ArrayNode unreachable = MAPPER.createArrayNode();
         for (final Map.Entry<NodeName, PeerClient> peer : peers.entrySet()) {
             try {
                 final ByteBuffer json = peer.getValue().call(TIMEOUT_MS, client -> client.explain(kind, id));
-                parse(text(json)).forEach(decisions::add);
+                parse(decodeUtf8(json)).forEach(decisions::add);
             } catch (WigeongradeException failure) {
                 unreachable.add(peer.getKey().value());
             }
@@ -84,11 +85,11 @@
         try {
             return MAPPER.readTree(json);
         } catch (IOException failure) {
-            throw new UncheckedIOException("a process answered with malformed JSON", failure);
+            throw new UncheckedIOException("another process answered with malformed JSON", failure);
         }
     }
 
-    private static String text(ByteBuffer bytes) {
+    private static String decodeUtf8(ByteBuffer bytes) {
         return StandardCharsets.UTF_8.decode(bytes).toString();
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/LocalExplanations.java
+++ b/src/main/java/org/wigeongrade/nodes/LocalExplanations.java
@@ -16,7 +16,7 @@
 import org.wigeongrade.nodes.entry.DecisionRecord;
 import org.wigeongrade.nodes.entry.EntryRole;
 
-/** Collects what this process decided about an object. Thread safe: holds no state of its own. */
+/** Collects the decisions that this process made about an object. Thread safe: holds no state of its own. */
 public final class LocalExplanations {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int MAX_RECORDS = 50;
@@ -32,13 +32,13 @@
     }
 
     /** Returns a JSON array of decisions, each with {@code at}, {@code node}, {@code what} and {@code why}. */
-    public byte[] json(String kind, String id) {
+    public byte[] explain(String kind, String id) {
         final ArrayNode records = MAPPER.createArrayNode();
-        entry.decisions().about(kind, id, MAX_RECORDS).forEach(record -> add(records, record));
+        entry.decisions().find(kind, id, MAX_RECORDS).forEach(record -> addDecision(records, record));
         control.ifPresent(role -> objectKind(kind)
                 .ifPresent(objectKind -> role.state()
                         .decisions(new ObjectId(objectKind, id))
-                        .forEach(decision -> add(records, decision))));
+                        .forEach(decision -> addDecision(records, decision))));
         if (kind.equals("group")) {
             control.flatMap(role -> role.holdReason(new GroupName(id)))
                     .ifPresent(reason -> records.addObject()
@@ -62,7 +62,7 @@
         };
     }
 
-    private static void add(ArrayNode records, DecisionRecord record) {
+    private static void addDecision(ArrayNode records, DecisionRecord record) {
         records.addObject()
                 .put("at", Instant.ofEpochMilli(record.atEpochMs()).toString())
                 .put("node", record.node().value())
@@ -72,7 +72,7 @@
                 .put("why", record.why());
     }
 
-    private static void add(ArrayNode records, Decision decision) {
+    private static void addDecision(ArrayNode records, Decision decision) {
         records.addObject()
                 .put("at", Instant.ofEpochMilli(decision.atEpochMs()).toString())
                 .put("node", "log:" + decision.index())
--- a/src/main/java/org/wigeongrade/nodes/NodeServer.java
+++ b/src/main/java/org/wigeongrade/nodes/NodeServer.java
@@ -11,9 +11,9 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
 
-/** Serves the node service on a Thrift port with a fixed pool of workers. Thread safe. */
+/** Serves the node service on a Thrift port with a fixed pool of worker threads. Thread safe. */
 public final class NodeServer implements AutoCloseable {
-    /** Largest Thrift message between processes of this system, in bytes. */
+    /** The largest Thrift message between processes of the fleet, in bytes. */
     public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
     private static final int SELECTOR_THREADS = 1;
@@ -43,7 +43,7 @@
         acceptThread.setDaemon(true);
     }
 
-    /** Begins to serve. */
+    /** Starts to serve calls. */
     public void start() {
         acceptThread.start();
     }
--- a/src/main/java/org/wigeongrade/nodes/NodeServiceHandler.java
+++ b/src/main/java/org/wigeongrade/nodes/NodeServiceHandler.java
@@ -14,7 +14,7 @@
 import org.wigeongrade.nodes.thrift.PullReply;
 import org.wigeongrade.nodes.thrift.PullRequest;
 
-/** Answers the calls of other processes of this system. Thread safe: holds no state of its own. */
+/** Handles the calls of other processes of the fleet. Thread safe: holds no state of its own. */
 public final class NodeServiceHandler implements NodeService.Iface {
     private final EntryRole entry;
     private final Optional<ControlRole> control;
@@ -40,12 +40,12 @@
 
     @Override
     public ByteBuffer explain(String kind, String id) throws NodeFailure {
-        return answer(() -> ByteBuffer.wrap(explanations.json(kind, id)));
+        return answer(() -> ByteBuffer.wrap(explanations.explain(kind, id)));
     }
 
     @Override
     public ByteBuffer status() throws NodeFailure {
-        return answer(() -> ByteBuffer.wrap(StatusReport.json(controlRole())));
+        return answer(() -> ByteBuffer.wrap(StatusReport.toJson(controlRole())));
     }
 
     @Override
@@ -55,7 +55,7 @@
 
     private ControlRole controlRole() {
         return control.orElseThrow(() -> new WigeongradeException(
-                ErrorKind.CONTROL_UNAVAILABLE, "node '" + entry.self() + "' runs no control role"));
+                ErrorKind.CONTROL_UNAVAILABLE, "node '" + entry.self() + "' does not run the control role"));
     }
 
     private static <T> T answer(Supplier<T> call) throws NodeFailure {
--- a/src/main/java/org/wigeongrade/nodes/NodeTimings.java
+++ b/src/main/java/org/wigeongrade/nodes/NodeTimings.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.TimeUnit;
 import org.wigeongrade.settings.NodeLimits;
 
-/** Spans that processes of one fleet share, in nanoseconds. Immutable; safe for use from any thread. */
+/** Durations that all processes of a fleet use alike, in nanoseconds. Immutable; safe for use from any thread. */
 public record NodeTimings(
         long viewLeaseNanos, long pullIntervalNanos, long announcementLeaseNanos, long orderTimeoutNanos) {
     private static final long ORDER_TIMEOUT_MS = 1_000;
 
-    /** Returns the timings that the settings state. */
+    /** Returns the timings from the settings. */
     public static NodeTimings of(NodeLimits limits) {
         return new NodeTimings(
                 TimeUnit.MILLISECONDS.toNanos(limits.viewLeaseMs()),
--- a/src/main/java/org/wigeongrade/nodes/PeerClient.java
+++ b/src/main/java/org/wigeongrade/nodes/PeerClient.java
@@ -16,9 +16,9 @@
 /**
  * Calls the node service of one other process.
  *
- * <p>Invariant: a connection that saw any failure is closed and never used again, and every read has a deadline, so a
- * connection that went silent costs one timeout. Thread safe; each call holds one connection for itself and {@code
- * idle} is guarded by this object's lock, which is never held during a call.
+ * <p>Invariant: a connection on which a call failed without an answer is closed and never used again, and every read
+ * has a timeout, so a connection that went silent costs one timeout. Thread safe; each call uses a connection
+ * exclusively, and {@code idle} is guarded by this object's lock, which is never held during a call.
  */
 public final class PeerClient {
     private static final int MAX_IDLE_CONNECTIONS = 4;
@@ -32,27 +32,27 @@
         this.connectTimeoutMs = connectTimeoutMs;
     }
 
-    /** One call on an open connection. */
+    /** A call on an open connection. */
     @FunctionalInterface
     public interface Call<T> {
         T apply(NodeService.Client client) throws TException;
     }
 
     /**
-     * Runs a call and waits for its answer.
+     * Runs a call and waits for the answer.
      *
-     * @param readTimeoutMs longest wait for the answer, in milliseconds
-     * @throws WigeongradeException with the peer's error kind if it refused; CONTROL_UNAVAILABLE if no connection could
-     *     be opened, so the call did not run; OUTCOME_UNKNOWN if the connection failed later
+     * @param readTimeoutMs the longest time to wait for the answer, in milliseconds
+     * @throws WigeongradeException with the peer's error kind if the peer returned an error; CONTROL_UNAVAILABLE if no
+     *     connection could be opened, so that the call did not run; OUTCOME_UNKNOWN if the connection failed after that
      */
     public <T> T call(int readTimeoutMs, Call<T> call) {
-        final Connection connection = take(readTimeoutMs);
+        final Connection connection = acquire(readTimeoutMs);
         try {
             final T answer = call.apply(connection.client);
-            giveBack(connection);
+            release(connection);
             return answer;
         } catch (NodeFailure failure) {
-            giveBack(connection);
+            release(connection);
             throw new WigeongradeException(
                     ErrorKind.valueOf(failure.getKind()), failure.getMessage(), failure.getRetryAfterMs(), failure);
         } catch (TException failure) {
@@ -69,7 +69,7 @@
         idle.clear();
     }
 
-    private Connection take(int readTimeoutMs) {
+    private Connection acquire(int readTimeoutMs) {
         synchronized (this) {
             final Connection pooled = idle.pollFirst();
             if (pooled != null) {
@@ -96,7 +96,7 @@
         }
     }
 
-    private synchronized void giveBack(Connection connection) {
+    private synchronized void release(Connection connection) {
         if (idle.size() < MAX_IDLE_CONNECTIONS) {
             idle.addFirst(connection);
             return;
--- a/src/main/java/org/wigeongrade/nodes/ShareRecords.java
+++ b/src/main/java/org/wigeongrade/nodes/ShareRecords.java
@@ -11,7 +11,7 @@
 public final class ShareRecords {
     private ShareRecords() {}
 
-    public static ShareReportRecord write(ShareReport report) {
+    public static ShareReportRecord toThrift(ShareReport report) {
         return new ShareReportRecord(
                 report.key().kind().name(),
                 report.key().name(),
@@ -25,7 +25,7 @@
                 report.coldSignEpoch());
     }
 
-    public static ShareReport read(ShareReportRecord record) {
+    public static ShareReport fromThrift(ShareReportRecord record) {
         return new ShareReport(
                 new ShareKey(ShareKind.valueOf(record.getKind()), record.getName()),
                 record.getSequence(),
@@ -38,7 +38,7 @@
                 record.getColdSignEpoch());
     }
 
-    public static ShareGrantRecord write(ShareGrant grant) {
+    public static ShareGrantRecord toThrift(ShareGrant grant) {
         return new ShareGrantRecord(
                 grant.key().kind().name(),
                 grant.key().name(),
@@ -49,7 +49,7 @@
                 grant.leaseNanos());
     }
 
-    public static ShareGrant read(ShareGrantRecord record) {
+    public static ShareGrant fromThrift(ShareGrantRecord record) {
         return new ShareGrant(
                 new ShareKey(ShareKind.valueOf(record.getKind()), record.getName()),
                 record.getReportSequence(),
--- a/src/main/java/org/wigeongrade/nodes/control/CacheEventRing.java
+++ b/src/main/java/org/wigeongrade/nodes/control/CacheEventRing.java
@@ -7,10 +7,11 @@
 import org.wigeongrade.nodes.thrift.CacheEventRecord;
 
 /**
- * The latest cache events of engines, for entry VMs to pull.
+ * A bounded buffer of the latest cache events of engines, which entry VMs pull.
  *
- * <p>Invariant: positions grow by one for each event; an entry VM that fell behind the oldest kept event sees a gap in
- * the engines' own sequences and drops what it knew. Thread safe: every method locks this object.
+ * <p>Invariant: the position grows by one for each event. An entry VM that fell behind the oldest buffered event sees a
+ * gap in the sequence numbers of the engines and drops what it knew of their caches. Thread safe: every method locks
+ * this object.
  */
 final class CacheEventRing {
     private static final int MAX_EVENTS = 1_024;
@@ -26,7 +27,7 @@
         }
     }
 
-    /** Returns the kept events from a position on. */
+    /** Returns the buffered events from a position on. */
     synchronized List<CacheEventRecord> since(long position) {
         final long oldest = nextPosition - events.size();
         final long skipped = Math.max(0, position - oldest);
--- a/src/main/java/org/wigeongrade/nodes/control/CommandClock.java
+++ b/src/main/java/org/wigeongrade/nodes/control/CommandTimestamps.java
@@ -3,13 +3,13 @@
 import org.wigeongrade.decisions.control.Command;
 
 /**
- * Puts the leader's wall clock into a command that another VM proposed, so that no other clock decides when records
- * expire. Deadlines keep their distance from the time of the proposal. Stateless; safe for use from any thread.
+ * Replaces the times in a proposed command with the leader's wall clock time, so that no other clock decides when
+ * records expire. A deadline keeps its distance from the time of the proposal. Stateless; safe for use from any thread.
  */
-final class CommandClock {
-    private CommandClock() {}
+final class CommandTimestamps {
+    private CommandTimestamps() {}
 
-    static Command stamp(Command command, long nowEpochMs) {
+    static Command withTimestamp(Command command, long nowEpochMs) {
         if (command instanceof Command.ApplyConfiguration apply) {
             return new Command.ApplyConfiguration(
                     apply.changeId(), apply.operator(), apply.baseRevision(), apply.declaredSet(), nowEpochMs);
--- a/src/main/java/org/wigeongrade/nodes/control/ConfigurationViews.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ConfigurationViews.java
@@ -5,7 +5,10 @@
 import org.wigeongrade.decisions.control.ZoneEntry;
 import org.wigeongrade.nodes.ConfigurationView;
 
-/** Reads the configuration of the control state at one revision. Stateless; safe for use from any thread. */
+/**
+ * Builds the view of the configuration from the control state, at one revision. Stateless; safe for use from any
+ * thread.
+ */
 final class ConfigurationViews {
     private ConfigurationViews() {}
 
--- a/src/main/java/org/wigeongrade/nodes/control/ControlRole.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ControlRole.java
@@ -26,10 +26,11 @@
 import org.wigeongrade.nodes.thrift.PullRequest;
 
 /**
- * The control role of one VM: its replica of the log and state, and the leader's work while it leads.
+ * The control role of one VM: its replica of the log and the state, and the duties of the leader while this VM is the
+ * leader.
  *
- * <p>Invariant: an answer to a pull leaves only if the leader's lease is still valid after the answer was made. Thread
- * safe: {@code leadership} is guarded by this object's lock, which is taken before every other lock here.
+ * <p>Invariant: the reply to a pull is sent only if the leader's lease is still valid after the reply was built. Thread
+ * safe: {@code leaderState} is guarded by this object's lock, which is acquired before every other lock here.
  */
 public final class ControlRole implements AutoCloseable {
     private static final long COMMIT_TIMEOUT_MS = 3_000;
@@ -41,11 +42,11 @@
     private final LongSupplier epochMsClock;
     private final EventLog events;
     private final ControlState state = new ControlState();
-    private final PullAnswerer answerer;
+    private final PullHandler pullHandler;
     private final ReplicatedLog log;
-    private Optional<Leadership> leadership = Optional.empty();
+    private Optional<LeaderState> leaderState = Optional.empty();
 
-    /** Opens the replicated log by {@code openLog} and joins its peers. */
+    /** Opens the replicated log with {@code openLog}, which joins its peers. */
     public ControlRole(
             NodeName self,
             NodeTimings timings,
@@ -58,40 +59,41 @@
         this.nanoClock = nanoClock;
         this.epochMsClock = epochMsClock;
         this.events = events;
-        this.answerer = new PullAnswerer(state, timings, nanoClock);
+        this.pullHandler = new PullHandler(state, timings, nanoClock);
         this.log = openLog.apply(new ControlStateMachine(state));
     }
 
-    /** Returns the replicated state of this VM; on a follower it may lag. */
+    /** Returns this VM's replica of the control state; on a follower it may lag. */
     public ControlState state() {
         return state;
     }
 
-    /** Returns the node that leads, if this VM knows one. */
+    /** Returns the leader, or empty if this VM knows none. */
     public Optional<NodeName> leader() {
         return log.leader();
     }
 
-    /** Answers a pull; without a valid leader's lease the answer only names the leader. */
+    /** Answers a pull. Without a valid leader's lease the reply only names the leader. */
     public PullReply pull(PullRequest request) {
-        final Optional<Leadership> current = leadership();
+        final Optional<LeaderState> current = leaderState();
         if (current.isEmpty()) {
-            return notLeading();
+            return notLeaderReply();
         }
-        answerer.takeIn(request, current.get()).forEach(this::quarantine);
-        final PullReply reply = answerer.answer(request, current.get());
-        return stillLeads(current.get()) ? reply : notLeading();
+        pullHandler.processReports(request, current.get()).forEach(this::proposeQuarantine);
+        final PullReply reply = pullHandler.buildReply(request, current.get());
+        return isStillLeader(current.get()) ? reply : notLeaderReply();
     }
 
     /**
      * Proposes a command and waits for its result.
      *
-     * @throws WigeongradeException with kind CONTROL_UNAVAILABLE if this VM does not lead, OUTCOME_UNKNOWN if the command
-     *     may or may not take effect
+     * @throws WigeongradeException with kind CONTROL_UNAVAILABLE if this VM is not the leader, OUTCOME_UNKNOWN if the
+     *     command may or may not take effect
      */
     public byte[] submit(byte[] command) {
         try {
-            final Command stamped = CommandClock.stamp(ControlCodec.decodeCommand(command), epochMsClock.getAsLong());
+            final Command stamped =
+                    CommandTimestamps.withTimestamp(ControlCodec.decodeCommand(command), epochMsClock.getAsLong());
             final CompletableFuture<byte[]> result = log.submit(ControlCodec.encode(stamped));
             return Uninterruptibles.getUninterruptibly(result, COMMIT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException failure) {
@@ -112,23 +114,26 @@
         return ControlCodec.decodeResult(submit(ControlCodec.encode(command)));
     }
 
-    /** Returns the leader's tables for the current term if this VM leads under a valid lease. */
-    synchronized Optional<Leadership> leadership() {
+    /** Returns the leader state of the current term, or empty if this VM is not the leader with a valid lease. */
+    synchronized Optional<LeaderState> leaderState() {
         if (!log.leadsWithLease()) {
             return Optional.empty();
         }
         final long term = log.term();
-        if (leadership.filter(known -> known.term() == term).isEmpty()) {
-            leadership = Optional.of(new Leadership(term, log.leaderSinceNanos(), timings));
+        if (leaderState.filter(known -> known.term() == term).isEmpty()) {
+            leaderState = Optional.of(new LeaderState(term, log.leaderSinceNanos(), timings));
             events.write(LogEvent.LEADER_ELECTED, self, term);
         }
-        return leadership;
+        return leaderState;
     }
 
-    /** Returns why the last plan did not form the group; empty if this VM does not lead or the group is not held back. */
+    /**
+     * Returns why the last placement plan did not form the group; empty if this VM is not the leader or that plan did
+     * not hold the group back.
+     */
     public Optional<String> holdReason(GroupName group) {
-        return leadership()
-                .map(Leadership::holds)
+        return leaderState()
+                .map(LeaderState::holds)
                 .map(holds -> holds.get(group))
                 .map(reason -> reason.describe(""));
     }
@@ -146,11 +151,11 @@
         log.close();
     }
 
-    private boolean stillLeads(Leadership answered) {
-        return log.leadsWithLease() && log.term() == answered.term();
+    private boolean isStillLeader(LeaderState expected) {
+        return log.leadsWithLease() && log.term() == expected.term();
     }
 
-    private PullReply notLeading() {
+    private PullReply notLeaderReply() {
         final PullReply reply = new PullReply();
         reply.setLeads(false);
         reply.setLeader(log.leader().map(NodeName::value).orElse(""));
@@ -158,7 +163,7 @@
         return reply;
     }
 
-    private void quarantine(QuarantineProposal proposal) {
+    private void proposeQuarantine(QuarantineProposal proposal) {
         final long nowEpochMs = epochMsClock.getAsLong();
         final Command command = new Command.QuarantineRequest(
                 proposal.requestDigest(), proposal.reason(), nowEpochMs + QUARANTINE_MS, nowEpochMs);
--- a/src/main/java/org/wigeongrade/nodes/control/ControlStateMachine.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ControlStateMachine.java
@@ -5,7 +5,10 @@
 import org.wigeongrade.decisions.control.ControlState;
 import org.wigeongrade.nodes.log.ReplicatedStateMachine;
 
-/** Feeds the replicated log's commands to the control state. Called by the log's thread; the state is thread safe. */
+/**
+ * Applies the commands of the replicated log to the control state. Called by the writer thread of the log; the state is
+ * thread safe.
+ */
 final class ControlStateMachine implements ReplicatedStateMachine {
     private final ControlState state;
 
--- a/src/main/java/org/wigeongrade/nodes/control/EntrySeen.java
+++ b/src/main/java/org/wigeongrade/nodes/control/EntryStatus.java
@@ -5,10 +5,10 @@
 import org.wigeongrade.ids.Revision;
 
 /**
- * What the leader last heard from an entry VM. {@code leaseEndsNanos} is on the leader's monotonic clock and no earlier
- * than the end of the lease on the entry VM. Immutable; safe for use from any thread.
+ * The last report of an entry VM to the leader. {@code leaseEndsNanos} is on the leader's monotonic clock, and is never
+ * before the entry VM's own lease ends. Immutable; safe for use from any thread.
  */
-record EntrySeen(
+record EntryStatus(
         NodeName node,
         AvailabilityZone zone,
         long incarnation,
--- a/src/main/java/org/wigeongrade/nodes/control/FleetMeasures.java
+++ b/src/main/java/org/wigeongrade/nodes/control/FleetMeasures.java
@@ -18,12 +18,13 @@
 import org.wigeongrade.metrics.Metrics;
 
 /**
- * Adds up group downtime and stranded accelerators while this VM leads, and logs groups that begin or cease to serve.
+ * Counts group downtime and stranded accelerators while this VM is the leader, and logs when a group starts or stops
+ * serving.
  *
- * <p>Invariant: each span of time counts once; time without a leader is not counted. Used by one thread.
+ * <p>Invariant: each time span is counted once; time without a leader is not counted. Used by one thread.
  */
 public final class FleetMeasures {
-    /** Name of the pool under which accelerators in no group are counted. */
+    /** The pool name under which accelerators that belong to no group are counted. */
     private static final PoolName NO_POOL = new PoolName("none");
 
     private final Metrics metrics;
@@ -37,29 +38,29 @@
         this.events = events;
     }
 
-    /** States whether this VM leads. */
-    void leads(boolean isLeader) {
+    /** Sets the metric for whether this VM is the leader. */
+    void setLeader(boolean isLeader) {
         metrics.setLeader(isLeader);
     }
 
-    void update(ControlState state, Leadership leadership, long nowNanos) {
-        final FleetSnapshot fleet = leadership.snapshot(state, nowNanos);
+    void update(ControlState state, LeaderState leaderState, long nowNanos) {
+        final FleetSnapshot fleet = leaderState.snapshot(state, nowNanos);
         logChanges(state, fleet);
-        if (term != leadership.term()) {
-            term = leadership.term();
+        if (term != leaderState.term()) {
+            term = leaderState.term();
             countedUntilNanos = nowNanos;
             return;
         }
         final long spanMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - countedUntilNanos);
         countedUntilNanos += TimeUnit.MILLISECONDS.toNanos(spanMs);
         countDowntime(state, fleet, spanMs);
-        countStranded(state, fleet, leadership, spanMs, nowNanos);
+        countStranded(state, fleet, leaderState, spanMs, nowNanos);
     }
 
     private void countDowntime(ControlState state, FleetSnapshot fleet, long spanMs) {
         final Map<PoolName, Integer> servingGroups = new HashMap<>();
         for (final FormedGroup group : state.groups()) {
-            if (serves(group, fleet)) {
+            if (isServing(group, fleet)) {
                 servingGroups.merge(group.pool(), 1, Integer::sum);
             }
         }
@@ -70,32 +71,32 @@
     }
 
     private void countStranded(
-            ControlState state, FleetSnapshot fleet, Leadership leadership, long spanMs, long nowNanos) {
+            ControlState state, FleetSnapshot fleet, LeaderState leaderState, long spanMs, long nowNanos) {
         final Map<VmName, FormedGroup> groups = new HashMap<>();
         for (final FormedGroup group : state.groups()) {
             group.members().forEach(member -> groups.put(member.vm(), group));
         }
         final Map<PoolName, Integer> stranded = new HashMap<>();
-        for (final Announcement said : leadership.announcements().live(nowNanos)) {
-            final FormedGroup group = groups.get(said.vm().vm());
-            final boolean used = group != null && serves(group, fleet);
-            if (said.kind() == EndpointKind.ENGINE && !used) {
-                stranded.merge(group == null ? NO_POOL : group.pool(), said.accelerators(), Integer::sum);
+        for (final Announcement announcement : leaderState.announcements().live(nowNanos)) {
+            final FormedGroup group = groups.get(announcement.vm().vm());
+            final boolean used = group != null && isServing(group, fleet);
+            if (announcement.kind() == EndpointKind.ENGINE && !used) {
+                stranded.merge(group == null ? NO_POOL : group.pool(), announcement.accelerators(), Integer::sum);
             }
         }
         stranded.forEach((pool, accelerators) -> metrics.addStrandedAcceleratorMs(pool, accelerators * spanMs));
     }
 
-    private static boolean serves(FormedGroup group, FleetSnapshot fleet) {
+    private static boolean isServing(FormedGroup group, FleetSnapshot fleet) {
         return fleet.servingDeadlinesNanos().containsKey(group.group().value());
     }
 
     private void logChanges(ControlState state, FleetSnapshot fleet) {
         for (final FormedGroup group : state.groups()) {
-            if (serves(group, fleet) && serving.add(group.group())) {
+            if (isServing(group, fleet) && serving.add(group.group())) {
                 events.write(LogEvent.GROUP_SERVING, group.group(), group.modelVersion());
             }
-            if (!serves(group, fleet) && serving.remove(group.group())) {
+            if (!isServing(group, fleet) && serving.remove(group.group())) {
                 events.write(
                         LogEvent.GROUP_NOT_SERVING,
                         group.group(),
--- a/src/main/java/org/wigeongrade/nodes/control/FleetSnapshot.java
+++ b/src/main/java/org/wigeongrade/nodes/control/FleetSnapshot.java
@@ -6,10 +6,11 @@
 import org.wigeongrade.nodes.thrift.LoadRecord;
 
 /**
- * The endpoints that may serve, as the leader saw them at one moment.
+ * The endpoints that may serve, as the leader saw them at one point in time.
  *
- * <p>{@code servingDeadlinesNanos} are on the leader's monotonic clock, by endpoint id; {@code notServing} gives the
- * reason by group name. Immutable by convention: the records are never changed after creation.
+ * <p>{@code servingDeadlinesNanos} maps endpoint ids to deadlines on the leader's monotonic clock; {@code notServing}
+ * maps the names of groups that do not serve to the reason. Immutable by convention: the records are never changed
+ * after creation.
  */
 public record FleetSnapshot(
         long takenAtNanos,
--- a/src/main/java/org/wigeongrade/nodes/control/FleetSnapshots.java
+++ b/src/main/java/org/wigeongrade/nodes/control/FleetSnapshotBuilder.java
@@ -30,12 +30,12 @@
 import org.wigeongrade.nodes.thrift.LoadRecord;
 
 /**
- * Works out which endpoints may serve, from the replicated state and the announcements.
+ * Determines which endpoints may serve, from the replicated state and the announcements.
  *
- * <p>Availability zones that are out stay listed: entry VMs leave them out by the configuration that they have in
- * force. Not thread safe; one instance serves one call.
+ * <p>Endpoints in availability zones that are out are included: entry VMs exclude them according to the configuration
+ * that they have in force. Not thread safe; each instance is used for one call.
  */
-final class FleetSnapshots {
+final class FleetSnapshotBuilder {
     private final DeclaredSet declaredSet;
     private final List<FormedGroup> groups;
     private final long appliedIndex;
@@ -46,11 +46,11 @@
     private final long nowNanos;
 
     private final ImmutableList.Builder<EndpointRecord> endpoints = ImmutableList.builder();
-    private final ImmutableMap.Builder<String, Long> deadlines = ImmutableMap.builder();
+    private final ImmutableMap.Builder<String, Long> servingDeadlinesNanos = ImmutableMap.builder();
     private final ImmutableList.Builder<LoadRecord> loads = ImmutableList.builder();
     private final ImmutableMap.Builder<String, String> notServing = ImmutableMap.builder();
 
-    private FleetSnapshots(
+    private FleetSnapshotBuilder(
             ControlState state,
             AnnouncementTable announcements,
             ShareLedger shares,
@@ -67,7 +67,7 @@
         this.nowNanos = nowNanos;
     }
 
-    /** Returns the snapshot at {@code nowNanos}. */
+    /** Takes the snapshot at {@code nowNanos}. */
     static FleetSnapshot take(
             ControlState state,
             AnnouncementTable announcements,
@@ -75,14 +75,14 @@
             Map<NodeName, String> callerAddresses,
             long announcementLeaseNanos,
             long nowNanos) {
-        return new FleetSnapshots(state, announcements, shares, callerAddresses, announcementLeaseNanos, nowNanos)
+        return new FleetSnapshotBuilder(state, announcements, shares, callerAddresses, announcementLeaseNanos, nowNanos)
                 .take();
     }
 
     private FleetSnapshot take() {
         groups.forEach(this::addGroup);
         announcements.live(nowNanos).stream()
-                .filter(said -> said.kind() == EndpointKind.SERVICE)
+                .filter(announcement -> announcement.kind() == EndpointKind.SERVICE)
                 .forEach(this::addService);
         final ImmutableList<EndpointRecord> list = endpoints.build();
         return new FleetSnapshot(
@@ -90,7 +90,7 @@
                 appliedIndex,
                 digest(list),
                 list,
-                deadlines.buildOrThrow(),
+                servingDeadlinesNanos.buildOrThrow(),
                 loads.build(),
                 notServing.buildOrThrow());
     }
@@ -103,15 +103,15 @@
             notServing.put(group.group().value(), "pool '" + group.pool() + "' is no longer declared");
             return;
         }
-        final Map<AvailabilityZone, ZoneState> allIn = Map.of();
-        final ServingLease lease = ServingLeases.of(group, allIn, announcements, nowNanos);
+        final Map<AvailabilityZone, ZoneState> allZonesIn = Map.of();
+        final ServingLease lease = ServingLeases.of(group, allZonesIn, announcements, nowNanos);
         if (lease instanceof ServingLease.Refused refused) {
             notServing.put(group.group().value(), refused.message());
             return;
         }
-        final Announcement first =
+        final Announcement firstMember =
                 announcements.live(group.first().vm(), nowNanos).orElseThrow();
-        final EndpointRecord record = common(group.group().value(), first, lease);
+        final EndpointRecord record = commonRecord(group.group().value(), firstMember, lease);
         record.setKind(EndpointKind.ENGINE.label());
         record.setTarget(modelOf(group.modelVersion(), pool.get()));
         record.setModelVersion(group.modelVersion().value());
@@ -123,50 +123,54 @@
                 group.members().stream().map(member -> member.vm().value()).toList());
         record.setFencingTerm(group.fencingToken().term());
         record.setFencingSequence(group.fencingToken().sequence());
-        add(record, first, lease);
+        add(record, firstMember, lease);
     }
 
-    private void addService(Announcement said) {
+    private void addService(Announcement announcement) {
         final Optional<ServiceDeclaration> service = declaredSet.services().stream()
                 .filter(declared ->
-                        said.service().filter(declared.name()::equals).isPresent())
+                        announcement.service().filter(declared.name()::equals).isPresent())
                 .findFirst();
-        final ServingLease lease = ServingLeases.ofService(said, Map.of());
+        final ServingLease lease = ServingLeases.ofService(announcement, Map.of());
         if (service.isEmpty() || lease instanceof ServingLease.Refused) {
             return;
         }
-        final EndpointRecord record = common(said.vm().vm().value(), said, lease);
+        final EndpointRecord record = commonRecord(announcement.vm().vm().value(), announcement, lease);
         record.setKind(EndpointKind.SERVICE.label());
         record.setTarget(service.get().name().value());
         record.setModelVersion("");
-        record.setAvailabilityZone(said.zone().value());
+        record.setAvailabilityZone(announcement.zone().value());
         record.setCapacity(service.get().capacity());
         record.setColdCapacity(service.get().coldCapacity());
         record.setLongestRunMs(service.get().longestRunMs());
-        record.setMembers(List.of(said.vm().vm().value()));
-        add(record, said, lease);
+        record.setMembers(List.of(announcement.vm().vm().value()));
+        add(record, announcement, lease);
     }
 
-    private EndpointRecord common(String id, Announcement first, ServingLease lease) {
+    private EndpointRecord commonRecord(String id, Announcement announcement, ServingLease lease) {
         final EndpointRecord record = new EndpointRecord();
         record.setId(id);
-        record.setAddress(first.address());
+        record.setAddress(announcement.address());
         record.setCold(lease instanceof ServingLease.Serving serving && serving.cold());
-        record.setIncarnation(first.vm().incarnation());
+        record.setIncarnation(announcement.vm().incarnation());
         final Optional<NodeName> coldHolder = shares.coldHolder(ShareKey.endpointSlots(new EndpointId(id)));
         record.setColdHolder(coldHolder.map(NodeName::value).orElse(""));
         record.setColdHolderAddress(coldHolder.map(callerAddresses::get).orElse(""));
         return record;
     }
 
-    private void add(EndpointRecord record, Announcement first, ServingLease lease) {
+    private void add(EndpointRecord record, Announcement announcement, ServingLease lease) {
         endpoints.add(record);
-        deadlines.put(record.getId(), lease.deadlineNanos().orElseThrow());
-        final long heardNanos = first.leaseDeadlineNanos() - announcementLeaseNanos;
-        loads.add(new LoadRecord(record.getId(), first.running(), first.waiting(), Math.max(0, nowNanos - heardNanos)));
+        servingDeadlinesNanos.put(record.getId(), lease.deadlineNanos().orElseThrow());
+        final long receivedNanos = announcement.leaseDeadlineNanos() - announcementLeaseNanos;
+        loads.add(new LoadRecord(
+                record.getId(), announcement.running(), announcement.waiting(), Math.max(0, nowNanos - receivedNanos)));
     }
 
-    /** Returns the name that callers ask for; the pool's own version stands in for one that is no longer declared. */
+    /**
+     * Returns the model name that callers ask for. If the version is no longer declared, uses the version that the pool
+     * declares.
+     */
     private String modelOf(ModelVersionName version, PoolDeclaration pool) {
         return declaredModel(version)
                 .or(() -> declaredModel(pool.modelVersion()))
--- a/src/main/java/org/wigeongrade/nodes/control/FreedVms.java
+++ b/src/main/java/org/wigeongrade/nodes/control/FreedVms.java
@@ -7,29 +7,29 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * VMs freed from a group that entry VMs may still send to.
+ * Tracks VMs that were freed from a dissolved group to which entry VMs may still send requests.
  *
- * <p>Invariant: a VM gets no order until every serving lease of the group that it was freed from has ended, so that no
- * request of the old group meets a VM of a new one. Used by one thread.
+ * <p>Invariant: a VM gets no order until every serving lease of its old group has ended, so that no request for the old
+ * group reaches a VM that already belongs to a new one. Used by one thread.
  */
 final class FreedVms {
-    private final Map<VmName, Long> orderableAtNanos = new HashMap<>();
+    private final Map<VmName, Long> leasesEndNanosByVm = new HashMap<>();
 
-    /** Notes that the group was dissolved; its last serving lease ends at {@code leasesEndNanos} at the latest. */
-    void dissolved(FormedGroup group, long leasesEndNanos) {
-        group.members().stream().map(VmIncarnation::vm).forEach(vm -> orderableAtNanos.put(vm, leasesEndNanos));
+    /** Records that the group was dissolved. Its last serving lease ends at {@code leasesEndNanos} at the latest. */
+    void groupDissolved(FormedGroup group, long leasesEndNanos) {
+        group.members().stream().map(VmIncarnation::vm).forEach(vm -> leasesEndNanosByVm.put(vm, leasesEndNanos));
     }
 
-    /** Returns whether the VM may be given an order now. */
-    boolean isOrderable(VmName vm, long nowNanos) {
-        final Long atNanos = orderableAtNanos.get(vm);
-        if (atNanos == null) {
+    /** Returns whether an order may be sent to the VM now. */
+    boolean mayReceiveOrder(VmName vm, long nowNanos) {
+        final Long leasesEndNanos = leasesEndNanosByVm.get(vm);
+        if (leasesEndNanos == null) {
             return true;
         }
-        if (nowNanos - atNanos < 0) {
+        if (nowNanos - leasesEndNanos < 0) {
             return false;
         }
-        orderableAtNanos.remove(vm);
+        leasesEndNanosByVm.remove(vm);
         return true;
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/control/Leadership.java
+++ b/src/main/java/org/wigeongrade/nodes/control/LeaderState.java
@@ -16,29 +16,29 @@
 import org.wigeongrade.nodes.NodeTimings;
 
 /**
- * What a leader knows beside the replicated log, for one term.
+ * The volatile state of a leader for one term: what it knows beyond the replicated log.
  *
- * <p>Invariant: starts empty with each term; nothing in it outlives the term. Thread safe: the tables lock themselves,
- * {@code entries} and {@code snapshot} are guarded by this object's lock, which is taken before the tables' locks and
- * never after them.
+ * <p>Invariant: it starts empty in each term, and nothing in it is used after the term. Thread safe: the tables have
+ * their own locks; {@code entries}, {@code holds} and {@code snapshot} are guarded by this object's lock, which is
+ * acquired before the locks of the tables and never after them.
  */
-final class Leadership {
-    private static final long SNAPSHOT_LIFE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final long SUSPECT_NANOS = TimeUnit.MINUTES.toNanos(10);
-    private static final long TRIAL_NANOS = TimeUnit.SECONDS.toNanos(10);
+final class LeaderState {
+    private static final long SNAPSHOT_MAX_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long SUSPECT_RETENTION_NANOS = TimeUnit.MINUTES.toNanos(10);
+    private static final long TRIAL_LEASE_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final long term;
     private final long sinceNanos;
     private final NodeTimings timings;
     private final AnnouncementTable announcements = new AnnouncementTable();
     private final ShareLedger shares;
-    private final CrashSuspects suspects = new CrashSuspects(SUSPECT_NANOS, TRIAL_NANOS);
+    private final CrashSuspects suspects = new CrashSuspects(SUSPECT_RETENTION_NANOS, TRIAL_LEASE_NANOS);
     private final CacheEventRing cacheEvents = new CacheEventRing();
-    private final Map<NodeName, EntrySeen> entries = new TreeMap<>();
+    private final Map<NodeName, EntryStatus> entries = new TreeMap<>();
     private Optional<FleetSnapshot> snapshot = Optional.empty();
     private ImmutableMap<GroupName, PlacementReason> holds = ImmutableMap.of();
 
-    Leadership(long term, long sinceNanos, NodeTimings timings) {
+    LeaderState(long term, long sinceNanos, NodeTimings timings) {
         this.term = term;
         this.sinceNanos = sinceNanos;
         this.timings = timings;
@@ -65,22 +65,22 @@
         return cacheEvents;
     }
 
-    /** Returns when every living VM has had the time to announce itself to this leader. */
+    /** Returns the time from which on every live VM has had the time to announce itself to this leader. */
     long membersKnownAtNanos() {
         return sinceNanos + timings.announcementLeaseNanos();
     }
 
-    /** Returns the longest life of a lease, in nanoseconds. */
-    long leaseNanos() {
+    /** Returns the longest duration of a view lease, in nanoseconds. */
+    long viewLeaseNanos() {
         return timings.viewLeaseNanos();
     }
 
-    /** Returns when no lease of an earlier leader is valid any more. */
+    /** Returns the time from which on no lease given by an earlier leader is valid. */
     long olderLeasesEndNanos() {
         return sinceNanos + timings.viewLeaseNanos();
     }
 
-    /** Keeps which declared groups the last plan did not form, and why. */
+    /** Stores the declared groups that the last placement plan did not form, each with the reason. */
     synchronized void setHolds(ImmutableMap<GroupName, PlacementReason> newHolds) {
         holds = newHolds;
     }
@@ -89,32 +89,34 @@
         return holds;
     }
 
-    /** Returns when no order of an earlier leader can arrive any more. */
+    /** Returns the time from which on no order of an earlier leader can arrive. */
     long olderOrdersEndNanos() {
         return sinceNanos + timings.viewLeaseNanos() + timings.orderTimeoutNanos();
     }
 
-    synchronized void entrySeen(EntrySeen seen) {
-        entries.put(seen.node(), seen);
+    synchronized void recordEntry(EntryStatus status) {
+        entries.put(status.node(), status);
     }
 
-    synchronized ImmutableList<EntrySeen> entries() {
+    synchronized ImmutableList<EntryStatus> entries() {
         return ImmutableList.copyOf(entries.values());
     }
 
     private Map<NodeName, String> callerAddresses() {
         final Map<NodeName, String> addresses = new TreeMap<>();
-        entries.values().forEach(seen -> addresses.put(seen.node(), seen.callerAddress()));
+        entries.values().forEach(status -> addresses.put(status.node(), status.callerAddress()));
         return addresses;
     }
 
-    /** Returns the fleet as of now, or as of a moment ago if no command was applied since. */
+    /**
+     * Returns a snapshot of the fleet: a new one, or the previous one if it is recent and no command was applied since.
+     */
     synchronized FleetSnapshot snapshot(ControlState state, long nowNanos) {
-        final boolean fresh = snapshot.filter(taken -> nowNanos - taken.takenAtNanos() < SNAPSHOT_LIFE_NANOS)
-                .filter(taken -> taken.appliedIndex() == state.appliedIndex())
+        final boolean upToDate = snapshot.filter(cached -> nowNanos - cached.takenAtNanos() < SNAPSHOT_MAX_AGE_NANOS)
+                .filter(cached -> cached.appliedIndex() == state.appliedIndex())
                 .isPresent();
-        if (!fresh) {
-            snapshot = Optional.of(FleetSnapshots.take(
+        if (!upToDate) {
+            snapshot = Optional.of(FleetSnapshotBuilder.take(
                     state, announcements, shares, callerAddresses(), timings.announcementLeaseNanos(), nowNanos));
         }
         return snapshot.orElseThrow();
--- a/src/main/java/org/wigeongrade/nodes/control/PlacementLoop.java
+++ b/src/main/java/org/wigeongrade/nodes/control/PlacementLoop.java
@@ -23,10 +23,11 @@
 import org.wigeongrade.logging.LogEvent;
 
 /**
- * Carries out the placement plan while this VM leads: commits its commands, then gives its orders.
+ * Makes and executes placement plans while this VM is the leader: commits the commands of a plan, then sends its
+ * orders.
  *
- * <p>Invariant: orders of a plan leave only if every command before them was committed and the lease is still valid.
- * Its own thread runs every plan, one after another.
+ * <p>Invariant: an order of a plan is sent only after every command before it in the plan was committed, and only while
+ * the lease is still valid. A dedicated thread executes the plans one after another.
  */
 public final class PlacementLoop implements AutoCloseable {
     private static final long INTERVAL_MS = 200;
@@ -34,35 +35,35 @@
     private final ControlRole control;
     private final OrderSender orders;
     private final ShareBounds shareBounds;
-    private final FleetMeasures measures;
+    private final FleetMeasures metrics;
     private final EventLog events;
-    private final OrderPacing pacing = new OrderPacing();
+    private final OrderRateLimiter orderRateLimiter = new OrderRateLimiter();
     private final FreedVms freedVms = new FreedVms();
-    private final ExecutorService thread = Executors.newSingleThreadScheduledExecutor(new ThreadFactoryBuilder()
+    private final ExecutorService executor = Executors.newSingleThreadScheduledExecutor(new ThreadFactoryBuilder()
             .setNameFormat("placement")
             .setDaemon(true)
             .build());
 
-    public PlacementLoop(ControlRole control, OrderSender orders, FleetMeasures measures, EventLog events) {
+    public PlacementLoop(ControlRole control, OrderSender orders, FleetMeasures metrics, EventLog events) {
         this.control = control;
         this.orders = orders;
-        this.measures = measures;
+        this.metrics = metrics;
         this.events = events;
         this.shareBounds = new ShareBounds();
     }
 
-    /** Begins to plan. */
+    /** Starts the loop. */
     public void start() {
-        thread.execute(this::runUntilClosed);
+        executor.execute(this::runUntilClosed);
     }
 
     @Override
     public void close() {
-        thread.shutdown();
+        executor.shutdown();
     }
 
     private void runUntilClosed() {
-        while (!thread.isShutdown()) {
+        while (!executor.isShutdown()) {
             runOnce();
             Uninterruptibles.sleepUninterruptibly(INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
@@ -70,9 +71,9 @@
 
     private void runOnce() {
         try {
-            final Optional<Leadership> leadership = control.leadership();
-            measures.leads(leadership.isPresent());
-            leadership.ifPresent(this::plan);
+            final Optional<LeaderState> leaderState = control.leaderState();
+            metrics.setLeader(leaderState.isPresent());
+            leaderState.ifPresent(this::planAndExecute);
         } catch (WigeongradeException failure) {
             events.write(LogEvent.PLACEMENT_FAILED, failure.getMessage());
         } catch (RuntimeException failure) {
@@ -80,22 +81,22 @@
         }
     }
 
-    private void plan(Leadership leadership) {
+    private void planAndExecute(LeaderState leaderState) {
         final long nowNanos = control.nowNanos();
-        shareBounds.update(control.state(), leadership, nowNanos);
-        measures.update(control.state(), leadership, nowNanos);
+        shareBounds.update(control.state(), leaderState, nowNanos);
+        metrics.update(control.state(), leaderState, nowNanos);
         final PlacementInput input = PlacementInput.of(
                 control.state(),
-                leadership.announcements(),
-                leadership.term(),
+                leaderState.announcements(),
+                leaderState.term(),
                 nowNanos,
                 control.nowEpochMs(),
-                leadership.membersKnownAtNanos(),
-                leadership.olderOrdersEndNanos());
+                leaderState.membersKnownAtNanos(),
+                leaderState.olderOrdersEndNanos());
         final List<PlacementAction> plan = PlacementPlanner.plan(input);
-        leadership.setHolds(holds(plan));
+        leaderState.setHolds(holds(plan));
         for (final PlacementAction action : plan) {
-            if (!carryOut(action, leadership, nowNanos)) {
+            if (!execute(action, leaderState, nowNanos)) {
                 return;
             }
         }
@@ -108,8 +109,8 @@
                 .collect(ImmutableMap.toImmutableMap(PlacementAction.Hold::group, PlacementAction.Hold::reason));
     }
 
-    /** Returns whether the rest of the plan may be carried out. */
-    private boolean carryOut(PlacementAction action, Leadership leadership, long nowNanos) {
+    /** Executes one action of the plan. Returns whether the rest of the plan may be executed. */
+    private boolean execute(PlacementAction action, LeaderState leaderState, long nowNanos) {
         if (action instanceof PlacementAction.FormGroup form) {
             if (commit(form.command()).isPresent()) {
                 events.write(
@@ -121,26 +122,26 @@
             return true;
         }
         if (action instanceof PlacementAction.DissolveGroup dissolve) {
-            dissolve(dissolve, leadership, nowNanos);
+            dissolve(dissolve, leaderState, nowNanos);
             return true;
         }
-        if (action instanceof PlacementAction.SendOrder send && isDue(send.order(), leadership, nowNanos)) {
-            final boolean leads = control.leadership().isPresent();
-            if (leads) {
+        if (action instanceof PlacementAction.SendOrder send && maySend(send.order(), leaderState, nowNanos)) {
+            final boolean leading = control.leaderState().isPresent();
+            if (leading) {
                 orders.send(send.order());
             }
-            return leads;
+            return leading;
         }
         return true;
     }
 
-    private boolean isDue(Order order, Leadership leadership, long nowNanos) {
-        return nowNanos - leadership.olderLeasesEndNanos() >= 0
-                && freedVms.isOrderable(order.vm().vm(), nowNanos)
-                && pacing.isDue(order, nowNanos);
+    private boolean maySend(Order order, LeaderState leaderState, long nowNanos) {
+        return nowNanos - leaderState.olderLeasesEndNanos() >= 0
+                && freedVms.mayReceiveOrder(order.vm().vm(), nowNanos)
+                && orderRateLimiter.tryAcquire(order, nowNanos);
     }
 
-    private void dissolve(PlacementAction.DissolveGroup action, Leadership leadership, long nowNanos) {
+    private void dissolve(PlacementAction.DissolveGroup action, LeaderState leaderState, long nowNanos) {
         final Command.DissolveGroup command = action.command();
         final Optional<FormedGroup> group = control.state().groups().stream()
                 .filter(formed -> formed.group().equals(command.group()))
@@ -149,8 +150,8 @@
             return;
         }
         if (action.reason() != PlacementReason.MEMBER_LOST) {
-            final long leasesEndNanos = nowNanos + leadership.leaseNanos();
-            group.ifPresent(formed -> freedVms.dissolved(formed, leasesEndNanos));
+            final long leasesEndNanos = nowNanos + leaderState.viewLeaseNanos();
+            group.ifPresent(formed -> freedVms.groupDissolved(formed, leasesEndNanos));
         }
         events.write(LogEvent.GROUP_DISSOLVED, command.group(), command.reason());
     }
--- a/src/main/java/org/wigeongrade/nodes/control/PullAnswerer.java
+++ b/src/main/java/org/wigeongrade/nodes/control/PullHandler.java
@@ -34,29 +34,28 @@
 import org.wigeongrade.nodes.thrift.ShareReportRecord;
 
 /**
- * Takes in what entry VMs report and answers with the view.
+ * Processes the reports in the pull requests of entry VMs and replies with the view.
  *
- * <p>Invariant: everything in an answer was read from the state before the caller checks the leader's lease, so an answer
- * that is sent is at least as new as every change accepted before the pull was sent. Thread safe: holds no state of its
- * own.
+ * <p>Invariant: everything in a reply was read from the state before the caller checks the leader's lease, so a reply
+ * that is sent includes every change accepted before the pull was sent. Thread safe: holds no state of its own.
  */
-final class PullAnswerer {
+final class PullHandler {
     private final ControlState state;
     private final NodeTimings timings;
     private final LongSupplier nanoClock;
 
-    PullAnswerer(ControlState state, NodeTimings timings, LongSupplier nanoClock) {
+    PullHandler(ControlState state, NodeTimings timings, LongSupplier nanoClock) {
         this.state = state;
         this.timings = timings;
         this.nanoClock = nanoClock;
     }
 
-    /** Takes in the request's reports and returns the digests that became due for quarantine. */
-    List<QuarantineProposal> takeIn(PullRequest request, Leadership leadership) {
+    /** Processes the reports in the request and returns the quarantines that they make due. */
+    List<QuarantineProposal> processReports(PullRequest request, LeaderState leaderState) {
         final long nowNanos = nanoClock.getAsLong();
-        request.getAnnouncements().forEach(record -> hear(record, leadership, nowNanos));
+        request.getAnnouncements().forEach(record -> recordAnnouncement(record, leaderState, nowNanos));
         final NodeName node = new NodeName(request.getNode());
-        leadership.entrySeen(new EntrySeen(
+        leaderState.recordEntry(new EntryStatus(
                 node,
                 new AvailabilityZone(request.getAvailabilityZone()),
                 request.getIncarnation(),
@@ -65,43 +64,47 @@
                 request.getCallerAddress(),
                 nowNanos,
                 nowNanos + timings.viewLeaseNanos()));
-        return leadership.suspects().report(node, CrashRecords.read(request.getCrashReport()), nowNanos);
+        return leaderState.suspects().report(node, CrashRecords.fromThrift(request.getCrashReport()), nowNanos);
     }
 
-    /** Returns the answer; its lease counts from when the entry VM sent the pull. */
-    PullReply answer(PullRequest request, Leadership leadership) {
+    /** Builds the reply. Its lease counts from the time at which the entry VM sent the pull. */
+    PullReply buildReply(PullRequest request, LeaderState leaderState) {
         final long nowNanos = nanoClock.getAsLong();
         final PullReply reply = new PullReply();
         reply.setLeads(true);
-        reply.setTerm(leadership.term());
+        reply.setTerm(leaderState.term());
         reply.setSentAtNanos(nowNanos);
         reply.setViewLeaseNanos(timings.viewLeaseNanos());
-        reply.setMembersKnown(nowNanos - leadership.membersKnownAtNanos() >= 0);
+        reply.setMembersKnown(nowNanos - leaderState.membersKnownAtNanos() >= 0);
         putConfiguration(reply, request);
-        putEndpoints(reply, request, leadership.snapshot(state, nowNanos), nowNanos);
-        putGrants(reply, request, leadership, nowNanos);
+        putEndpoints(reply, request, leaderState.snapshot(state, nowNanos), nowNanos);
+        putGrants(reply, request, leaderState, nowNanos);
         putQuarantine(reply, request);
-        putSuspects(reply, request, leadership, nowNanos);
-        putCacheEvents(reply, request, leadership);
+        putSuspects(reply, request, leaderState, nowNanos);
+        putCacheEvents(reply, request, leaderState);
         return reply;
     }
 
-    private void hear(AnnouncementRecord record, Leadership leadership, long nowNanos) {
-        if (record.getEchoTerm() != leadership.term()) {
+    private void recordAnnouncement(AnnouncementRecord record, LeaderState leaderState, long nowNanos) {
+        if (record.getEchoTerm() != leaderState.term()) {
             return;
         }
-        final long heardNanos = Math.min(nowNanos, record.getEchoSentAtNanos() + record.getHeardAfterEchoNanos());
-        final Announcement said = AnnouncementRecords.read(record, heardNanos + timings.announcementLeaseNanos());
-        if (!leadership.announcements().record(said)) {
+        final long receivedNanos = Math.min(nowNanos, record.getEchoSentAtNanos() + record.getHeardAfterEchoNanos());
+        final Announcement announcement =
+                AnnouncementRecords.fromThrift(record, receivedNanos + timings.announcementLeaseNanos());
+        if (!leaderState.announcements().record(announcement)) {
             return;
         }
-        final EndpointId endpoint = endpointOf(said);
-        leadership
+        final EndpointId endpoint = endpointOf(announcement);
+        leaderState
                 .shares()
                 .endpointReport(
-                        ShareKey.endpointSlots(endpoint), said.running() + said.waiting(), heardNanos, nowNanos);
+                        ShareKey.endpointSlots(endpoint),
+                        announcement.running() + announcement.waiting(),
+                        receivedNanos,
+                        nowNanos);
         if (record.isSetCacheFirstSequence()) {
-            leadership
+            leaderState
                     .cacheEvents()
                     .add(new CacheEventRecord(
                             endpoint.value(),
@@ -112,11 +115,11 @@
         }
     }
 
-    private static EndpointId endpointOf(Announcement said) {
-        if (said.kind() == EndpointKind.ENGINE && said.group().isPresent()) {
-            return new EndpointId(said.group().get().value());
+    private static EndpointId endpointOf(Announcement announcement) {
+        if (announcement.kind() == EndpointKind.ENGINE && announcement.group().isPresent()) {
+            return new EndpointId(announcement.group().get().value());
         }
-        return new EndpointId(said.vm().vm().value());
+        return new EndpointId(announcement.vm().vm().value());
     }
 
     private void putConfiguration(PullReply reply, PullRequest request) {
@@ -144,15 +147,15 @@
         reply.setLoads(fleet.loads());
     }
 
-    private static void putGrants(PullReply reply, PullRequest request, Leadership leadership, long nowNanos) {
+    private static void putGrants(PullReply reply, PullRequest request, LeaderState leaderState, long nowNanos) {
         final NodeName node = new NodeName(request.getNode());
         final List<ShareGrantRecord> grants = new ArrayList<>();
         for (ShareReportRecord record : request.getShares()) {
-            final ShareReport report = ShareRecords.read(record);
-            leadership
+            final ShareReport report = ShareRecords.fromThrift(record);
+            leaderState
                     .shares()
                     .report(node, request.getIncarnation(), report, nowNanos)
-                    .map(ShareRecords::write)
+                    .map(ShareRecords::toThrift)
                     .ifPresent(grants::add);
         }
         reply.setGrants(grants);
@@ -170,8 +173,8 @@
         }
     }
 
-    private void putSuspects(PullReply reply, PullRequest request, Leadership leadership, long nowNanos) {
-        final SuspectList suspects = leadership
+    private void putSuspects(PullReply reply, PullRequest request, LeaderState leaderState, long nowNanos) {
+        final SuspectList suspects = leaderState
                 .suspects()
                 .list(
                         new NodeName(request.getNode()),
@@ -181,13 +184,14 @@
                                 .collect(ImmutableSet.toImmutableSet()),
                         nowNanos);
         reply.setAcknowledgedCrashSequence(suspects.acknowledgedSequence());
-        reply.setSuspects(suspects.suspects().stream().map(CrashRecords::write).toList());
+        reply.setSuspects(
+                suspects.suspects().stream().map(CrashRecords::toThrift).toList());
     }
 
-    private static void putCacheEvents(PullReply reply, PullRequest request, Leadership leadership) {
-        final boolean sameTerm = request.getCacheCursorTerm() == leadership.term();
+    private static void putCacheEvents(PullReply reply, PullRequest request, LeaderState leaderState) {
+        final boolean sameTerm = request.getCacheCursorTerm() == leaderState.term();
         final long cursor = sameTerm ? request.getCacheCursor() : 0;
-        reply.setCacheEvents(leadership.cacheEvents().since(cursor));
-        reply.setCacheCursor(leadership.cacheEvents().position());
+        reply.setCacheEvents(leaderState.cacheEvents().since(cursor));
+        reply.setCacheCursor(leaderState.cacheEvents().position());
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/control/ShareBounds.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ShareBounds.java
@@ -13,42 +13,45 @@
 import org.wigeongrade.nodes.thrift.EndpointRecord;
 
 /**
- * Sets the bounds of the share ledger from the declared set and the endpoints that may serve.
+ * Updates the bounds in the share ledger from the declared set and from the endpoints that may serve.
  *
- * <p>Invariant: an endpoint that announces itself cold, or comes back in another life, is lowered to its cold capacity
- * before any further grant. Used by one thread.
+ * <p>Invariant: an endpoint that announces itself as cold, or that returns with another incarnation or fencing token,
+ * is lowered to its cold capacity before any further grant. Used by one thread.
  */
 final class ShareBounds {
     private static final long ORGANISATION_LONGEST_RUN_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    private record Life(long term, long incarnation, long fencingTerm, long fencingSequence) {}
+    private record EndpointRun(long term, long incarnation, long fencingTerm, long fencingSequence) {}
 
-    private final Map<String, Life> lives = new HashMap<>();
+    private final Map<String, EndpointRun> lastRuns = new HashMap<>();
 
-    void update(ControlState state, Leadership leadership, long nowNanos) {
-        final FleetSnapshot fleet = leadership.snapshot(state, nowNanos);
-        fleet.endpoints().forEach(endpoint -> bound(endpoint, leadership));
-        state.declaredSet().organisations().forEach(organisation -> bound(organisation, leadership.shares()));
+    void update(ControlState state, LeaderState leaderState, long nowNanos) {
+        final FleetSnapshot fleet = leaderState.snapshot(state, nowNanos);
+        fleet.endpoints().forEach(endpoint -> updateBounds(endpoint, leaderState));
+        state.declaredSet().organisations().forEach(organisation -> updateBounds(organisation, leaderState.shares()));
     }
 
-    private void bound(EndpointRecord endpoint, Leadership leadership) {
+    private void updateBounds(EndpointRecord endpoint, LeaderState leaderState) {
         final ShareKey key = ShareKey.endpointSlots(new EndpointId(endpoint.getId()));
         final ShareBound bound = new ShareBound(
                 endpoint.getCapacity(),
                 endpoint.getColdCapacity(),
                 TimeUnit.MILLISECONDS.toNanos(endpoint.getLongestRunMs()));
         final Warmth warmth = endpoint.isCold() ? Warmth.COLD : Warmth.WARM;
-        leadership.shares().setBound(key, bound, warmth);
-        final Life life = new Life(
-                leadership.term(), endpoint.getIncarnation(), endpoint.getFencingTerm(), endpoint.getFencingSequence());
-        final Life earlier = lives.put(endpoint.getId(), life);
-        final boolean sameTerm = earlier != null && earlier.term() == life.term();
-        if (endpoint.isCold() || (sameTerm && !earlier.equals(life))) {
-            leadership.shares().coldSign(key);
+        leaderState.shares().setBound(key, bound, warmth);
+        final EndpointRun run = new EndpointRun(
+                leaderState.term(),
+                endpoint.getIncarnation(),
+                endpoint.getFencingTerm(),
+                endpoint.getFencingSequence());
+        final EndpointRun previousRun = lastRuns.put(endpoint.getId(), run);
+        final boolean sameTerm = previousRun != null && previousRun.term() == run.term();
+        if (endpoint.isCold() || (sameTerm && !previousRun.equals(run))) {
+            leaderState.shares().coldSign(key);
         }
     }
 
-    private static void bound(OrganisationDeclaration organisation, ShareLedger shares) {
+    private static void updateBounds(OrganisationDeclaration organisation, ShareLedger shares) {
         shares.setBound(
                 ShareKey.inFlight(organisation.name()),
                 ShareBound.of(organisation.requestsInFlight(), ORGANISATION_LONGEST_RUN_NANOS),
--- a/src/main/java/org/wigeongrade/nodes/control/StatusReport.java
+++ b/src/main/java/org/wigeongrade/nodes/control/StatusReport.java
@@ -11,27 +11,27 @@
 import org.wigeongrade.errors.WigeongradeException;
 import org.wigeongrade.nodes.thrift.EndpointRecord;
 
-/** Writes the state of the fleet as the leader sees it. Stateless; safe for use from any thread. */
+/** Builds the status report of the fleet as the leader sees it. Stateless; safe for use from any thread. */
 public final class StatusReport {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private StatusReport() {}
 
-    /** Returns the status as JSON; throws with kind CONTROL_UNAVAILABLE if the VM does not lead. */
-    public static byte[] json(ControlRole control) {
-        final Leadership leadership = control.leadership()
+    /** Returns the status report as JSON; throws with kind CONTROL_UNAVAILABLE if this VM is not the leader. */
+    public static byte[] toJson(ControlRole control) {
+        final LeaderState leaderState = control.leaderState()
                 .orElseThrow(() -> new WigeongradeException(
                         ErrorKind.CONTROL_UNAVAILABLE,
-                        "this VM does not lead; leader: "
+                        "this VM is not the leader; leader: "
                                 + control.leader().map(Object::toString).orElse("none")));
         final long nowNanos = control.nowNanos();
-        final FleetSnapshot fleet = leadership.snapshot(control.state(), nowNanos);
+        final FleetSnapshot fleet = leaderState.snapshot(control.state(), nowNanos);
         final ObjectNode status = MAPPER.createObjectNode();
         status.put("revision", control.state().revision().value());
         status.put("leader", control.leader().map(Object::toString).orElse(""));
-        status.put("term", leadership.term());
+        status.put("term", leaderState.term());
         status.put("log_index", control.state().appliedIndex());
-        addNodes(status.putArray("nodes"), leadership, nowNanos);
+        addNodes(status.putArray("nodes"), leaderState, nowNanos);
         final ArrayNode zones = status.putArray("availability_zones");
         control.state()
                 .zoneStates()
@@ -39,7 +39,7 @@
                         zones.addObject().put("name", zone.value()).put("state", state.label()));
         final ArrayNode groups = status.putArray("groups");
         control.state().groups().forEach(group -> addGroup(groups, group, fleet));
-        leadership
+        leaderState
                 .holds()
                 .forEach((group, reason) -> groups.addObject()
                         .put("name", group.value())
@@ -48,25 +48,25 @@
         final ArrayNode endpoints = status.putArray("endpoints");
         fleet.endpoints().forEach(endpoint -> addEndpoint(endpoints, endpoint, fleet, nowNanos));
         final ArrayNode vms = status.putArray("vms");
-        leadership.announcements().live(nowNanos).forEach(said -> addVm(vms, said));
+        leaderState.announcements().live(nowNanos).forEach(announcement -> addVm(vms, announcement));
         return status.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static void addNodes(ArrayNode nodes, Leadership leadership, long nowNanos) {
-        for (final EntrySeen seen : leadership.entries()) {
+    private static void addNodes(ArrayNode nodes, LeaderState leaderState, long nowNanos) {
+        for (final EntryStatus entry : leaderState.entries()) {
             nodes.addObject()
-                    .put("name", seen.node().value())
-                    .put("availability_zone", seen.zone().value())
-                    .put("revision_in_force", seen.revisionInForce().value())
-                    .put("lease_left_ms", leftMs(seen.leaseEndsNanos(), nowNanos))
-                    .put("seen_ms_ago", TimeUnit.NANOSECONDS.toMillis(nowNanos - seen.seenAtNanos()))
-                    .put("stopping", seen.stopping());
+                    .put("name", entry.node().value())
+                    .put("availability_zone", entry.zone().value())
+                    .put("revision_in_force", entry.revisionInForce().value())
+                    .put("lease_left_ms", remainingMs(entry.leaseEndsNanos(), nowNanos))
+                    .put("seen_ms_ago", TimeUnit.NANOSECONDS.toMillis(nowNanos - entry.seenAtNanos()))
+                    .put("stopping", entry.stopping());
         }
     }
 
     private static void addGroup(ArrayNode groups, FormedGroup group, FleetSnapshot fleet) {
         final String name = group.group().value();
-        final boolean serves = fleet.servingDeadlinesNanos().containsKey(name);
+        final boolean isServing = fleet.servingDeadlinesNanos().containsKey(name);
         groups.addObject()
                 .put("name", name)
                 .put("pool", group.pool().value())
@@ -74,8 +74,8 @@
                 .put("fabric_domain", group.fabricDomain().value())
                 .put("model_version", group.modelVersion().value())
                 .put("members", group.members().toString())
-                .put("state", serves ? "serving" : "not serving")
-                .put("reason", serves ? "" : fleet.notServing().getOrDefault(name, ""));
+                .put("state", isServing ? "serving" : "not serving")
+                .put("reason", isServing ? "" : fleet.notServing().getOrDefault(name, ""));
     }
 
     private static void addEndpoint(ArrayNode endpoints, EndpointRecord endpoint, FleetSnapshot fleet, long nowNanos) {
@@ -88,21 +88,21 @@
                 .put("address", endpoint.getAddress())
                 .put("cold", endpoint.isCold())
                 .put("cold_holder", endpoint.getColdHolder())
-                .put("serving_lease_left_ms", leftMs(deadlineNanos, nowNanos));
+                .put("serving_lease_left_ms", remainingMs(deadlineNanos, nowNanos));
     }
 
-    private static void addVm(ArrayNode vms, Announcement said) {
+    private static void addVm(ArrayNode vms, Announcement announcement) {
         vms.addObject()
-                .put("name", said.vm().vm().value())
-                .put("incarnation", said.vm().incarnation())
-                .put("availability_zone", said.zone().value())
-                .put("fabric_domain", said.fabricDomain().value())
-                .put("state", said.state().label())
-                .put("group", said.group().map(Object::toString).orElse(""))
-                .put("running", said.running());
+                .put("name", announcement.vm().vm().value())
+                .put("incarnation", announcement.vm().incarnation())
+                .put("availability_zone", announcement.zone().value())
+                .put("fabric_domain", announcement.fabricDomain().value())
+                .put("state", announcement.state().label())
+                .put("group", announcement.group().map(Object::toString).orElse(""))
+                .put("running", announcement.running());
     }
 
-    private static long leftMs(long deadlineNanos, long nowNanos) {
+    private static long remainingMs(long deadlineNanos, long nowNanos) {
         return Math.max(0, TimeUnit.NANOSECONDS.toMillis(deadlineNanos - nowNanos));
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/control/package-info.java
+++ b/src/main/java/org/wigeongrade/nodes/control/package-info.java
@@ -1,2 +1,2 @@
-/** The control role: applies the replicated log, answers pulls, places groups and gives orders. */
+/** The control role: applies the replicated log, answers pulls, places groups and sends orders. */
 package org.wigeongrade.nodes.control;
--- a/src/main/java/org/wigeongrade/nodes/entry/AnnouncementInbox.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/AnnouncementInbox.java
@@ -7,28 +7,32 @@
 import org.wigeongrade.nodes.thrift.AnnouncementRecord;
 
 /**
- * Announcements heard since the last pull, the newest of each VM.
+ * Collects the announcements received since the last pull, the newest of each VM.
  *
- * <p>Invariant: each carries how long after the last pull reply it was heard, so that the leader can count its lease
- * from a time that is no later than the hearing, on the leader's own clock. Announcements heard before any reply are
- * dropped; the next ones follow soon. Thread safe: every method locks this object and calls nothing else.
+ * <p>Invariant: each announcement carries how long after the last pull reply it was received, so that the leader can
+ * start its lease, on the leader's own clock, no later than the announcement was received. Announcements received
+ * before the first pull reply are dropped; VMs soon send new ones. Thread safe: every method locks this object and
+ * calls nothing else.
  */
 public final class AnnouncementInbox {
     private static final int MAX_CACHE_EVENTS = 4_096;
 
-    private final Map<String, AnnouncementRecord> heard = new LinkedHashMap<>();
+    private final Map<String, AnnouncementRecord> latestByVm = new LinkedHashMap<>();
     private long echoTerm;
     private long echoSentAtNanos;
     private long echoReceivedAtNanos;
 
-    /** Notes a pull reply: the leader's term and sending time, and when it was received here. */
-    public synchronized void replyReceived(long term, long sentAtNanos, long receivedAtNanos) {
+    /**
+     * Records a pull reply: the leader's term, when the leader sent it on the leader's clock, and when this VM received
+     * it.
+     */
+    public synchronized void recordReply(long term, long sentAtNanos, long receivedAtNanos) {
         echoTerm = term;
         echoSentAtNanos = sentAtNanos;
         echoReceivedAtNanos = receivedAtNanos;
     }
 
-    /** Keeps an announcement until the next pull. */
+    /** Stores an announcement until the next pull. */
     public synchronized void add(AnnouncementRecord record, long nowNanos) {
         if (echoTerm == 0) {
             return;
@@ -36,23 +40,26 @@
         record.setEchoTerm(echoTerm);
         record.setEchoSentAtNanos(echoSentAtNanos);
         record.setHeardAfterEchoNanos(Math.max(0, nowNanos - echoReceivedAtNanos));
-        final AnnouncementRecord earlier = heard.remove(record.getVm());
-        heard.put(record.getVm(), earlier == null ? record : newer(earlier, record));
+        final AnnouncementRecord earlier = latestByVm.remove(record.getVm());
+        latestByVm.put(record.getVm(), earlier == null ? record : merge(earlier, record));
     }
 
-    /** Takes all announcements out. */
+    /** Removes and returns all announcements. */
     public synchronized List<AnnouncementRecord> drain() {
-        final List<AnnouncementRecord> all = new ArrayList<>(heard.values());
-        heard.clear();
+        final List<AnnouncementRecord> all = new ArrayList<>(latestByVm.values());
+        latestByVm.clear();
         return all;
     }
 
-    /** Keeps announcements again whose pull failed, unless newer ones came meanwhile. */
+    /**
+     * Puts back the announcements of a failed pull, except those of VMs that announced themselves again in the
+     * meantime.
+     */
     public synchronized void putBack(List<AnnouncementRecord> records) {
-        records.forEach(record -> heard.putIfAbsent(record.getVm(), record));
+        records.forEach(record -> latestByVm.putIfAbsent(record.getVm(), record));
     }
 
-    private static AnnouncementRecord newer(AnnouncementRecord earlier, AnnouncementRecord later) {
+    private static AnnouncementRecord merge(AnnouncementRecord earlier, AnnouncementRecord later) {
         if (isOlder(later, earlier)) {
             return earlier;
         }
@@ -69,7 +76,10 @@
         return first.getSequence() <= second.getSequence();
     }
 
-    /** Keeps the cache events of both announcements where no removal stands between them. */
+    /**
+     * Adds the cache events of the earlier announcement to the later one, if they are contiguous, the earlier one has
+     * no removals and the limit is not exceeded.
+     */
     private static void prependCacheEvents(AnnouncementRecord earlier, AnnouncementRecord later) {
         if (!earlier.isSetCacheFirstSequence() || !earlier.getCacheRemoved().isEmpty()) {
             return;
--- a/src/main/java/org/wigeongrade/nodes/entry/DecisionRecord.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/DecisionRecord.java
@@ -5,7 +5,7 @@
 import org.wigeongrade.ids.RequestId;
 
 /**
- * One decision of an entry VM about a request. {@code endpoint} is empty if none was chosen. Immutable; safe for use from
+ * A decision of an entry VM about a request. {@code endpoint} is empty if none was chosen. Immutable; safe for use from
  * any thread.
  */
 public record DecisionRecord(
@@ -16,7 +16,10 @@
         String endpoint,
         String what,
         String why) {
-    /** Returns whether the decision is about the object of the given kind: request, endpoint, group or organisation. */
+    /**
+     * Returns whether the decision is about the object with this kind (request, endpoint, group or organisation) and
+     * id.
+     */
     public boolean concerns(String kind, String id) {
         return switch (kind) {
             case "request" -> request.value().equals(id);
--- a/src/main/java/org/wigeongrade/nodes/entry/DecisionRecords.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/DecisionRecords.java
@@ -5,18 +5,18 @@
 import java.util.Deque;
 
 /**
- * The latest decisions of this VM about requests, for operators who ask why.
+ * The latest decisions of this VM about requests, from which operators can see the reasons.
  *
- * <p>Invariant: holds {@link #MAX_RECORDS} at most and forgets the oldest first. Thread safe: every method locks this
- * object and calls nothing else.
+ * <p>Invariant: holds at most {@link #MAX_RECORDS} records and drops the oldest first. Thread safe: every method locks
+ * this object and calls nothing else.
  */
 public final class DecisionRecords {
-    /** Number of records kept. */
+    /** The maximum number of records. */
     public static final int MAX_RECORDS = 8_192;
 
     private final Deque<DecisionRecord> records = new ArrayDeque<>();
 
-    /** Keeps a record. */
+    /** Adds a record, and drops the oldest one if the maximum is reached. */
     public synchronized void add(DecisionRecord record) {
         if (records.size() >= MAX_RECORDS) {
             records.removeFirst();
@@ -24,8 +24,8 @@
         records.addLast(record);
     }
 
-    /** Returns the records that concern an object, the oldest first, at most {@code limit} of the latest. */
-    public synchronized ImmutableList<DecisionRecord> about(String kind, String id, int limit) {
+    /** Returns the latest records about an object, at most {@code limit}, oldest first. */
+    public synchronized ImmutableList<DecisionRecord> find(String kind, String id, int limit) {
         final Deque<DecisionRecord> found = new ArrayDeque<>();
         for (final DecisionRecord record : records) {
             if (!record.concerns(kind, id)) {
--- a/src/main/java/org/wigeongrade/nodes/entry/EntryRole.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/EntryRole.java
@@ -17,14 +17,14 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * The shared tables of one entry VM.
+ * The state that the parts of an entry VM share.
  *
- * <p>Invariant: {@code view} only ever moves forward. Thread safe: each table locks itself and no method here holds two
- * locks, so there is no lock order between them.
+ * <p>Invariant: {@code view} is only ever replaced by a newer one. Thread safe: each table has its own lock, and no
+ * method here holds two locks, so there is no lock order between them.
  */
 public final class EntryRole {
-    private static final int MAX_BLOCKS_FOR_EACH_ENGINE = 20_000;
-    private static final double RETRIES_FOR_EACH_REQUEST = 0.1;
+    private static final int MAX_BLOCKS_PER_ENGINE = 20_000;
+    private static final double RETRIES_PER_REQUEST = 0.1;
     private static final double RETRY_RESERVE = 20;
     private static final long ORGANISATION_ACTIVE_NANOS = TimeUnit.SECONDS.toNanos(10);
     private static final long UNREACHABLE_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -39,21 +39,24 @@
     private final OrganisationAdmission admission = new OrganisationAdmission(shares);
     private final OrganisationUse organisationUse = new OrganisationUse(ORGANISATION_ACTIVE_NANOS);
     private final SuspectTable suspects;
-    private final PrefixIndex prefixes = new PrefixIndex(MAX_BLOCKS_FOR_EACH_ENGINE);
-    private final RetryBudget retries = new RetryBudget(RETRIES_FOR_EACH_REQUEST, RETRY_RESERVE);
+    private final PrefixIndex prefixes = new PrefixIndex(MAX_BLOCKS_PER_ENGINE);
+    private final RetryBudget retries = new RetryBudget(RETRIES_PER_REQUEST, RETRY_RESERVE);
     private final UnreachableEndpoints unreachable = new UnreachableEndpoints(UNREACHABLE_NANOS);
     private final AnnouncementInbox inbox = new AnnouncementInbox();
     private final DecisionRecords decisions = new DecisionRecords();
     private final LongSupplier nanoClock;
 
-    /** {@code callerAddress} is where other entry VMs reach this one's API for callers, as {@code ip:port}. */
+    /**
+     * {@code callerAddress} is the address, as {@code ip:port}, at which other entry VMs reach the API of this VM for
+     * callers.
+     */
     public EntryRole(
             NodeName self, AvailabilityZone zone, String callerAddress, long pullIntervalMs, LongSupplier nanoClock) {
         this.self = self;
         this.zone = zone;
         this.callerAddress = callerAddress;
         this.nanoClock = nanoClock;
-        this.view = new AtomicReference<>(FleetView.none(nanoClock.getAsLong()));
+        this.view = new AtomicReference<>(FleetView.empty(nanoClock.getAsLong()));
         this.suspects = new SuspectTable(self, pullIntervalMs);
     }
 
@@ -65,7 +68,7 @@
         return zone;
     }
 
-    /** Returns where other entry VMs may pass callers' requests on to this one, as {@code ip:port}. */
+    /** Returns the address, as {@code ip:port}, to which other entry VMs may forward callers' requests. */
     public String callerAddress() {
         return callerAddress;
     }
@@ -74,7 +77,7 @@
         return view.get();
     }
 
-    /** Replaces the view; only the puller calls this. */
+    /** Replaces the view; called only by {@link ViewPuller}. */
     void setView(FleetView next) {
         view.set(next);
     }
@@ -120,12 +123,12 @@
         return nanoClock.getAsLong();
     }
 
-    /** Fails the health check from now on, while requests that still arrive are served. */
+    /** Makes the health check fail from now on; requests that still arrive are served. */
     public void leave() {
         leaving.set(true);
     }
 
-    /** Takes no new requests from now on. */
+    /** Makes the health check fail and refuses new requests from now on. */
     public void stop() {
         leaving.set(true);
         stopping.set(true);
@@ -135,12 +138,12 @@
         return stopping.get();
     }
 
-    /** Returns whether the balancer may send callers here. */
+    /** Returns whether the load balancer may send callers to this VM. */
     public boolean isHealthy() {
         return !leaving.get() && view().hasLease(nowNanos());
     }
 
-    /** Drops the slots of an endpoint that showed a sign of being cold; a peer saw it. */
+    /** Drops the slots at an endpoint that showed a sign of being cold, as observed by this VM or by a peer. */
     public void coldSign(EndpointId endpoint) {
         shares.coldSign(ShareKey.endpointSlots(endpoint));
     }
--- a/src/main/java/org/wigeongrade/nodes/entry/FleetView.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/FleetView.java
@@ -11,9 +11,11 @@
 import org.wigeongrade.nodes.thrift.EndpointRecord;
 
 /**
- * What an entry VM routes by: the configuration in force, the endpoints that may serve and the view lease.
+ * The view by which an entry VM routes requests: the configuration in force, the endpoints that may serve and the view
+ * lease.
  *
- * <p>{@code leaseDeadlineNanos} is on this VM's monotonic clock, counted from the sending of the pull.
+ * <p>{@code leaseDeadlineNanos} is on this VM's monotonic clock and is counted from the time at which the pull was
+ * sent.
  *
  * <p>Invariant: the revision and the term never decrease from one view to the next. Immutable; safe for use from any
  * thread.
@@ -27,18 +29,18 @@
         long quarantineDigest,
         ImmutableMap<String, Long> quarantinedUntilEpochMs,
         long leaseDeadlineNanos) {
-    /** The view of a process that has pulled none. */
-    public static FleetView none(long nowNanos) {
+    /** Returns the view of a process that has not pulled one yet. */
+    public static FleetView empty(long nowNanos) {
         return new FleetView(
                 0, ConfigurationView.EMPTY, 0, ImmutableList.of(), ImmutableMap.of(), 0, ImmutableMap.of(), nowNanos);
     }
 
-    /** Returns whether new work may be sent on this view. */
+    /** Returns whether the view lease is valid, so that new work may be sent according to this view. */
     public boolean hasLease(long nowNanos) {
         return leaseDeadlineNanos - nowNanos > 0;
     }
 
-    /** Returns the revision in force here. */
+    /** Returns the revision of the configuration in force. */
     public Revision revision() {
         return configuration.revision();
     }
@@ -48,7 +50,10 @@
         return endpoints.values();
     }
 
-    /** Returns where the entry VM takes requests that alone may send to a cold endpoint, as {@code ip:port}. */
+    /**
+     * Returns the address, as {@code ip:port}, at which callers' requests reach the only entry VM that may send to the
+     * cold endpoint.
+     */
     public Optional<String> coldHolderAddress(EndpointId id) {
         return records.stream()
                 .filter(record -> record.getId().equals(id.value()))
@@ -57,7 +62,7 @@
                 .findFirst();
     }
 
-    /** Returns the endpoint, if it may serve. */
+    /** Returns the endpoint, or empty if it may not serve. */
     public Optional<EndpointView> endpoint(EndpointId id) {
         return Optional.ofNullable(endpoints.get(id));
     }
--- a/src/main/java/org/wigeongrade/nodes/entry/FleetViews.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/FleetViews.java
@@ -19,16 +19,16 @@
 import org.wigeongrade.nodes.thrift.LoadRecord;
 import org.wigeongrade.nodes.thrift.PullReply;
 
-/** Makes the next view from a pull reply. Stateless; safe for use from any thread. */
+/** Creates the next view from a pull reply. Stateless; safe for use from any thread. */
 final class FleetViews {
     private static final String ENGINE = "engine";
 
     private FleetViews() {}
 
     /**
-     * Returns the view after a reply, or nothing if the reply is older than the view.
+     * Returns the view that results from a reply, or empty if the reply is older than the earlier view.
      *
-     * @param sentNanos when the pull was sent, on this VM's monotonic clock; every lease counts from then
+     * @param sentNanos when the pull was sent, on this VM's monotonic clock; every lease starts at that time
      */
     static Optional<FleetView> next(FleetView earlier, PullReply reply, long sentNanos) {
         if (reply.getTerm() < earlier.term()
@@ -64,7 +64,7 @@
         reply.getLoads().forEach(load -> loads.put(load.getEndpoint(), load));
         final ImmutableMap.Builder<EndpointId, EndpointView> views = ImmutableMap.builder();
         if (!reply.isMembersKnown()) {
-            earlier.all().forEach(view -> views.put(view.id(), underConfiguration(view, configuration)));
+            earlier.all().forEach(view -> views.put(view.id(), withConfiguration(view, configuration)));
         }
         for (final EndpointRecord record : records) {
             final long leaseNanos =
@@ -76,8 +76,11 @@
         return views.buildKeepingLast();
     }
 
-    /** Returns an endpoint of the earlier leader, with its serving deadline, as the configuration now allows it. */
-    private static EndpointView underConfiguration(EndpointView view, ConfigurationView configuration) {
+    /**
+     * Returns an endpoint known from an earlier leader, with its serving deadline, updated to whether the configuration
+     * now allows new work for it.
+     */
+    private static EndpointView withConfiguration(EndpointView view, ConfigurationView configuration) {
         return new EndpointView(
                 view.id(),
                 view.incarnation(),
--- a/src/main/java/org/wigeongrade/nodes/entry/ViewPuller.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/ViewPuller.java
@@ -25,10 +25,11 @@
 import org.wigeongrade.nodes.thrift.PullRequest;
 
 /**
- * Pulls the view from the leader at a fixed interval and reports what this VM heard and holds.
+ * Pulls the view from the leader at a fixed interval, and reports the announcements that this VM received and the
+ * shares that it holds.
  *
- * <p>Invariant: every lease in a reply counts from when its pull was sent. Its own thread makes every pull, one after
- * another; {@link #pullSoon} may be called from any thread.
+ * <p>Invariant: every lease in a reply counts from the time at which the pull was sent. A dedicated thread makes the
+ * pulls one after another; {@link #pullSoon} may be called from any thread.
  */
 public final class ViewPuller implements AutoCloseable {
     private static final long RETRY_INTERVAL_MS = 100;
@@ -42,7 +43,7 @@
     private final Thread thread = new Thread(this::run, "view-puller");
     private final Set<ShareKey> reportedKeys = new LinkedHashSet<>();
     private final Object wakeUp = new Object();
-    private boolean soon;
+    private boolean pullRequested;
     private volatile boolean closed;
     private boolean viewChanged;
     private boolean leaseHeld;
@@ -50,7 +51,7 @@
     private long cacheCursorTerm;
     private long cacheCursor;
 
-    /** {@code incarnation} must be larger than that of every earlier life of this process. */
+    /** {@code incarnation} must be larger than in every earlier run of this process. */
     public ViewPuller(
             EntryRole entry, ControlLink control, EventLog events, Metrics metrics, long incarnation, long intervalMs) {
         this.entry = entry;
@@ -63,15 +64,15 @@
         thread.setDaemon(true);
     }
 
-    /** Begins to pull. */
+    /** Starts the thread that pulls. */
     public void start() {
         thread.start();
     }
 
-    /** Makes the next pull begin at once. */
+    /** Makes the next pull start at once. */
     public void pullSoon() {
         synchronized (wakeUp) {
-            soon = true;
+            pullRequested = true;
             wakeUp.notifyAll();
         }
     }
@@ -90,12 +91,12 @@
             } catch (RuntimeException failure) {
                 events.writeFault(LogEvent.VIEW_PULL_FAILED, failure, leaderName(), failure.toString());
             }
-            noteLease();
+            recordLeaseChange();
             await(pulled && !viewChanged ? intervalMs : Math.min(intervalMs, RETRY_INTERVAL_MS));
         }
     }
 
-    /** Returns whether the leader answered. */
+    /** Pulls once. Returns whether the leader answered. */
     private boolean pullOnce() {
         final List<AnnouncementRecord> announcements = entry.inbox().drain();
         final PullRequest request = request(announcements);
@@ -125,17 +126,20 @@
         request.setLeaseHeld(view.hasLease(nowNanos));
         request.setCacheCursorTerm(cacheCursorTerm);
         request.setCacheCursor(cacheCursor);
-        request.setCrashReport(
-                CrashRecords.write(entry.suspects().report(), entry.suspects().wantedTrials(nowNanos)));
-        request.setShares(keys(view).stream()
+        request.setCrashReport(CrashRecords.toThrift(
+                entry.suspects().report(), entry.suspects().wantedTrials(nowNanos)));
+        request.setShares(keysToReport(view).stream()
                 .map(key -> entry.shares().report(key, nowNanos))
-                .map(ShareRecords::write)
+                .map(ShareRecords::toThrift)
                 .toList());
         return request;
     }
 
-    /** Returns the shares to report: those of the view, and those of gone endpoints while work under them goes on. */
-    private ImmutableList<ShareKey> keys(FleetView view) {
+    /**
+     * Returns the keys of the shares to report: those in the view, and those of endpoints and organisations no longer
+     * in the view while their slots are still in use.
+     */
+    private ImmutableList<ShareKey> keysToReport(FleetView view) {
         final Set<ShareKey> current = new LinkedHashSet<>();
         view.all().forEach(endpoint -> current.add(ShareKey.endpointSlots(endpoint.id())));
         for (final OrganisationDeclaration organisation :
@@ -166,13 +170,13 @@
         }
         viewChanged = !earlier.revision().equals(next.get().revision())
                 || earlier.endpointsDigest() != next.get().endpointsDigest();
-        noteChangedEndpoints(earlier, next.get());
+        handleChangedEndpoints(earlier, next.get());
         entry.setView(next.get());
-        entry.inbox().replyReceived(reply.getTerm(), reply.getSentAtNanos(), entry.nowNanos());
+        entry.inbox().recordReply(reply.getTerm(), reply.getSentAtNanos(), entry.nowNanos());
         applyGrants(reply, sentNanos);
         entry.suspects()
                 .apply(
-                        CrashRecords.read(
+                        CrashRecords.fromThrift(
                                 reply,
                                 ImmutableSet.copyOf(
                                         next.get().quarantinedUntilEpochMs().keySet())),
@@ -184,22 +188,22 @@
         }
     }
 
-    /** Treats an endpoint in a new life as cold, and the requests in flight in its old life as suspects. */
-    private void noteChangedEndpoints(FleetView earlier, FleetView next) {
-        for (final Map.Entry<EndpointId, EndpointView> known :
+    /** Treats a restarted endpoint as cold, and the requests that were in flight at its old incarnation as suspects. */
+    private void handleChangedEndpoints(FleetView earlier, FleetView next) {
+        for (final Map.Entry<EndpointId, EndpointView> knownEndpoint :
                 earlier.endpoints().entrySet()) {
-            final EndpointView before = known.getValue();
-            final Optional<EndpointView> after = next.endpoint(known.getKey());
+            final EndpointView before = knownEndpoint.getValue();
+            final Optional<EndpointView> after = next.endpoint(knownEndpoint.getKey());
             if (after.isEmpty()) {
-                entry.prefixes().remove(known.getKey());
+                entry.prefixes().remove(knownEndpoint.getKey());
                 continue;
             }
-            final boolean otherLife = before.incarnation() != after.get().incarnation();
+            final boolean restarted = before.incarnation() != after.get().incarnation();
             final boolean turnedCold = !before.cold() && after.get().cold();
-            if (otherLife) {
+            if (restarted) {
                 entry.suspects().endpointLost(new EndpointLife(before.id(), before.incarnation()));
             }
-            if (otherLife || turnedCold) {
+            if (restarted || turnedCold) {
                 entry.coldSign(before.id());
             }
         }
@@ -207,7 +211,7 @@
 
     private void applyGrants(PullReply reply, long sentNanos) {
         reply.getGrants().forEach(record -> {
-            final ShareGrant grant = ShareRecords.read(record);
+            final ShareGrant grant = ShareRecords.fromThrift(record);
             entry.shares().applyGrant(grant, grant.deadlineNanos(sentNanos));
         });
     }
@@ -225,7 +229,7 @@
         cacheCursor = reply.getCacheCursor();
     }
 
-    private void noteLease() {
+    private void recordLeaseChange() {
         final boolean held = entry.view().hasLease(entry.nowNanos());
         metrics.setViewLease(held);
         if (held && !leaseHeld) {
@@ -248,19 +252,19 @@
     private void await(long waitMs) {
         synchronized (wakeUp) {
             final long deadlineNanos = entry.nowNanos() + TimeUnit.MILLISECONDS.toNanos(waitMs);
-            while (!soon) {
-                final long leftMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - entry.nowNanos());
-                if (leftMs <= 0) {
+            while (!pullRequested) {
+                final long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - entry.nowNanos());
+                if (remainingMs <= 0) {
                     break;
                 }
                 try {
-                    wakeUp.wait(leftMs);
+                    wakeUp.wait(remainingMs);
                 } catch (InterruptedException interrupted) {
                     closed = true;
                     return;
                 }
             }
-            soon = false;
+            pullRequested = false;
         }
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/entry/package-info.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The entry role: holds the view under its lease, hears announcements, and reports to the leader. */
+/** The entry role: holds the view while its lease is valid, receives announcements and reports to the leader. */
 package org.wigeongrade.nodes.entry;
--- a/src/main/java/org/wigeongrade/nodes/log/ReplicaWork.java
+++ b/src/main/java/org/wigeongrade/nodes/log/CoreOutputExecutor.java
@@ -16,43 +16,45 @@
 import org.wigeongrade.errors.WigeongradeException;
 
 /**
- * Carries out what the core asks for, in the order that {@link Outputs} states.
+ * Executes the outputs of the Raft core, in the order that {@link Outputs} requires.
  *
- * <p>Invariant: a message that promises something leaves only after the promise is synced. Used by the writer thread
- * only.
+ * <p>Invariant: a message that depends on stored state is sent only after that state is synced. Used by the writer
+ * thread only.
  */
-final class ReplicaWork {
-    private static final long MARK_AFTER_NANOS = TimeUnit.SECONDS.toNanos(1);
+final class CoreOutputExecutor {
+    private static final long SEAL_AFTER_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long MAX_RETAINED_BYTES = 4L * 1024 * 1024;
 
     private final RaftCore core;
     private final LogStore store;
     private final LogTransport transport;
-    private final ReplicatedStateMachine machine;
+    private final ReplicatedStateMachine stateMachine;
     private final PendingCommands pending;
     private final long compactAfterEntries;
-    private OptionalLong markDeadlineNanos = OptionalLong.empty();
+    private OptionalLong sealDeadlineNanos = OptionalLong.empty();
 
-    ReplicaWork(
+    CoreOutputExecutor(
             RaftCore core,
             LogStore store,
             LogTransport transport,
-            ReplicatedStateMachine machine,
+            ReplicatedStateMachine stateMachine,
             PendingCommands pending,
             long compactAfterEntries) {
         this.core = core;
         this.store = store;
         this.transport = transport;
-        this.machine = machine;
+        this.stateMachine = stateMachine;
         this.pending = pending;
         this.compactAfterEntries = compactAfterEntries;
     }
 
     void restore(Snapshot snapshot) {
-        machine.restore(snapshot.state().array());
+        stateMachine.restore(snapshot.state().array());
     }
 
-    /** Does everything the core asks for now, then takes a snapshot and closes the last batch if that is due. */
+    /**
+     * Executes all outputs that the core has now. Then takes a snapshot and seals the last batch, each if it is due.
+     */
     void run(LongSupplier clock) {
         Outputs outputs = core.drain(clock.getAsLong());
         while (!outputs.isEmpty()) {
@@ -60,21 +62,21 @@
             outputs = core.drain(clock.getAsLong());
         }
         compactIfDue();
-        markIfDue(clock.getAsLong());
+        sealIfDue(clock.getAsLong());
     }
 
-    private void markIfDue(long nowNanos) {
-        if (markDeadlineNanos.isPresent() && nowNanos - markDeadlineNanos.getAsLong() >= 0) {
-            markDeadlineNanos = OptionalLong.empty();
-            store.mark();
+    private void sealIfDue(long nowNanos) {
+        if (sealDeadlineNanos.isPresent() && nowNanos - sealDeadlineNanos.getAsLong() >= 0) {
+            sealDeadlineNanos = OptionalLong.empty();
+            store.sealLastBatch();
         }
     }
 
     private void compactIfDue() {
-        long sinceSnapshot = core.appliedIndex() - core.snapshotIndex();
-        boolean large = core.retainedBytes() >= MAX_RETAINED_BYTES;
-        if (sinceSnapshot >= compactAfterEntries || (large && sinceSnapshot > 0)) {
-            compact(large ? 0 : compactAfterEntries / 2);
+        long entriesSinceSnapshot = core.appliedIndex() - core.snapshotIndex();
+        boolean retainsTooManyBytes = core.retainedBytes() >= MAX_RETAINED_BYTES;
+        if (entriesSinceSnapshot >= compactAfterEntries || (retainsTooManyBytes && entriesSinceSnapshot > 0)) {
+            compact(retainsTooManyBytes ? 0 : compactAfterEntries / 2);
         }
     }
 
@@ -82,7 +84,7 @@
         outputs.halt().ifPresent(reason -> {
             throw new WigeongradeException(
                     ErrorKind.INTERNAL,
-                    "log of this VM differs from the leader's (" + reason + "); set its folder aside");
+                    "the log of this VM differs from the leader's (" + reason + "); move its data folder away");
         });
         outputs.hardState().ifPresent(store::saveHardState);
         outputs.immediate().forEach(outgoing -> transport.send(outgoing.to(), outgoing.message()));
@@ -94,7 +96,7 @@
 
     private void install(Snapshot snapshot) {
         store.saveSnapshot(snapshot, snapshot.position(), ImmutableList.of());
-        machine.restore(snapshot.state().array());
+        stateMachine.restore(snapshot.state().array());
     }
 
     private void persist(List<LogEntry> entries, long nowNanos) {
@@ -102,20 +104,21 @@
             return;
         }
         store.append(entries);
-        markDeadlineNanos = OptionalLong.of(nowNanos + MARK_AFTER_NANOS);
+        sealDeadlineNanos = OptionalLong.of(nowNanos + SEAL_AFTER_NANOS);
         LogEntry last = entries.get(entries.size() - 1);
         core.persisted(last.index(), last.term());
     }
 
     private void apply(LogEntry entry) {
         if (entry.kind() == EntryKind.COMMAND) {
-            pending.applied(entry, machine.apply(entry.index(), entry.payload().array()));
+            pending.entryApplied(
+                    entry, stateMachine.apply(entry.index(), entry.payload().array()));
         }
     }
 
     private void compact(long entriesToKeep) {
-        Bytes state = Bytes.wrap(machine.snapshot());
-        Snapshot taken = core.compact(state, entriesToKeep);
-        store.saveSnapshot(taken, core.base(), core.entriesFromBase());
+        Bytes state = Bytes.wrap(stateMachine.snapshot());
+        Snapshot snapshot = core.compact(state, entriesToKeep);
+        store.saveSnapshot(snapshot, core.base(), core.entriesFromBase());
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/log/LateReceiver.java
+++ b/src/main/java/org/wigeongrade/nodes/log/DeferredReceiver.java
@@ -4,12 +4,14 @@
 import org.wigeongrade.decisions.log.LogMessage;
 import org.wigeongrade.ids.NodeName;
 
-/** Hands messages to a replica that is made after its transport; drops those that come earlier. Thread safe. */
-final class LateReceiver implements BiConsumer<NodeName, LogMessage> {
+/**
+ * Forwards messages to a replica that is created after its transport; drops messages that arrive earlier. Thread safe.
+ */
+final class DeferredReceiver implements BiConsumer<NodeName, LogMessage> {
     private volatile RaftReplicatedLog log;
 
-    void connect(RaftReplicatedLog made) {
-        log = made;
+    void connect(RaftReplicatedLog replica) {
+        log = replica;
     }
 
     @Override
--- a/src/main/java/org/wigeongrade/nodes/log/LogSettings.java
+++ b/src/main/java/org/wigeongrade/nodes/log/LogSettings.java
@@ -11,11 +11,11 @@
 /**
  * Settings of one control VM's replica. Immutable; safe for use from any thread.
  *
- * @param core the node's name, the nodes that start a new log, and timings
- * @param folder the data folder; one process holds it at a time
- * @param listenAddress where the other control VMs reach this one
- * @param directory where the other control VMs listen
- * @param compactAfterEntries how many entries are applied between two snapshots
+ * @param core the node's name, the nodes that bootstrap a new log, and timings
+ * @param folder the data folder; only one process at a time may use it
+ * @param listenAddress the address at which the other control VMs reach this one
+ * @param directory the addresses that the other control VMs listen on
+ * @param compactAfterEntries the number of entries applied between two snapshots
  */
 public record LogSettings(
         CoreSettings core,
@@ -23,16 +23,19 @@
         InetSocketAddress listenAddress,
         PeerDirectory directory,
         long compactAfterEntries) {
-    /** Entries between two snapshots; about 3 MB of small commands, see docs/design/replicated-log.md. */
+    /**
+     * The default number of entries between two snapshots: about 3 MB of small commands, see
+     * docs/design/replicated-log.md.
+     */
     public static final long DEFAULT_COMPACT_AFTER_ENTRIES = 10_000;
 
-    /** Returns settings for a fixed list of peers, with the default timings and 10,000 entries between snapshots. */
+    /** Returns settings for a fixed set of peers, with the default timings and 10,000 entries between snapshots. */
     public static LogSettings of(
             NodeName self, Path folder, InetSocketAddress listenAddress, Map<NodeName, InetSocketAddress> peers) {
         return ofPeers(self, folder, listenAddress, peers, LogTimings.DEFAULT, DEFAULT_COMPACT_AFTER_ENTRIES);
     }
 
-    /** Returns settings for a fixed list of peers, each with its own left out. */
+    /** Returns settings for a fixed set of peers, which does not contain this node itself. */
     public static LogSettings ofPeers(
             NodeName self,
             Path folder,
--- a/src/main/java/org/wigeongrade/nodes/log/LogTransport.java
+++ b/src/main/java/org/wigeongrade/nodes/log/LogTransport.java
@@ -5,7 +5,7 @@
 
 /** Carries messages between the replicas. Messages may be lost, delayed, repeated or reordered. Thread safe. */
 public interface LogTransport extends AutoCloseable {
-    /** Hands a message over for sending; never blocks. */
+    /** Queues a message for sending; never blocks. */
     void send(NodeName peer, LogMessage message);
 
     @Override
--- a/src/main/java/org/wigeongrade/nodes/log/PeerDirectory.java
+++ b/src/main/java/org/wigeongrade/nodes/log/PeerDirectory.java
@@ -7,14 +7,15 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Tells where the log of another control VM listens; empty for a name that is no control VM. Implementations are safe
- * for use from any thread and always give the same answer for a name.
+ * Maps the name of another control VM to the address that its log listens on. Implementations are safe for use from any
+ * thread and always return the same result for a name.
  */
 @FunctionalInterface
 public interface PeerDirectory {
+    /** Returns the address, or empty if the name is not that of a control VM. */
     Optional<InetSocketAddress> addressOf(NodeName peer);
 
-    /** Returns the directory of a fixed list of peers. */
+    /** Returns a directory of a fixed set of peers. */
     static PeerDirectory of(Map<NodeName, InetSocketAddress> peers) {
         final ImmutableMap<NodeName, InetSocketAddress> fixed = ImmutableMap.copyOf(peers);
         return peer -> Optional.ofNullable(fixed.get(peer));
--- a/src/main/java/org/wigeongrade/nodes/log/PeerQueue.java
+++ b/src/main/java/org/wigeongrade/nodes/log/PeerQueue.java
@@ -13,15 +13,15 @@
 import org.wigeongrade.decisions.log.LogMessage;
 
 /**
- * Messages that wait for one peer.
+ * The queue of messages to one peer.
  *
- * <p>Invariants: holds at most its capacity and drops the oldest heartbeat first; holds at most one snapshot piece.
- * Thread safe; its one lock is the only lock it takes.
+ * <p>Invariants: the queue never exceeds its capacity: a full queue drops its oldest heartbeat, or its oldest message
+ * if it holds no heartbeat; it holds at most one snapshot chunk. Thread safe; this class acquires no lock but its own.
  */
 final class PeerQueue {
     private static final int CAPACITY_MESSAGES = 256;
     private static final int MAX_BATCH_BYTES = 1024 * 1024;
-    private static final int HEAD_BYTES = 64;
+    private static final int OVERHEAD_BYTES = 64;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
@@ -39,13 +39,16 @@
         }
     }
 
-    /** Waits for messages, at most so long in milliseconds; returns none after that or once closed. */
+    /**
+     * Waits at most {@code waitMs} for messages and removes a batch of them; returns an empty list if none came in time
+     * or the queue was closed.
+     */
     List<LogMessage> take(long waitMs) throws InterruptedException {
         lock.lock();
         try {
-            long leftNanos = TimeUnit.MILLISECONDS.toNanos(waitMs);
-            while (messages.isEmpty() && !closed && leftNanos > 0) {
-                leftNanos = changed.awaitNanos(leftNanos);
+            long remainingNanos = TimeUnit.MILLISECONDS.toNanos(waitMs);
+            while (messages.isEmpty() && !closed && remainingNanos > 0) {
+                remainingNanos = changed.awaitNanos(remainingNanos);
             }
             return removeBatch();
         } finally {
@@ -119,16 +122,16 @@
 
     private static int sizeBytes(LogMessage message) {
         if (message instanceof LogMessage.SnapshotChunk chunk) {
-            return HEAD_BYTES + chunk.data().sizeBytes();
+            return OVERHEAD_BYTES + chunk.data().sizeBytes();
         }
         if (message instanceof LogMessage.AppendRequest request) {
-            return HEAD_BYTES
+            return OVERHEAD_BYTES
                     + request.entries().stream().mapToInt(PeerQueue::sizeBytes).sum();
         }
-        return HEAD_BYTES;
+        return OVERHEAD_BYTES;
     }
 
     private static int sizeBytes(LogEntry entry) {
-        return HEAD_BYTES + entry.payload().sizeBytes();
+        return OVERHEAD_BYTES + entry.payload().sizeBytes();
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/log/PeerSender.java
+++ b/src/main/java/org/wigeongrade/nodes/log/PeerSender.java
@@ -14,24 +14,25 @@
 import org.wigeongrade.nodes.log.thrift.LogService;
 
 /**
- * Sends one peer's messages on a worker of its own.
+ * Sends messages to one peer on a dedicated thread.
  *
- * <p>Invariants: a connection on which an answer is late is closed and never used again; a batch that failed on a reused
- * connection is sent once more on a new one; messages that waited while the peer could not be reached are dropped. {@link #send} is thread safe and never blocks.
+ * <p>Invariants: a connection on which a reply times out is closed and never used again; a batch that failed on a
+ * reused connection is sent once more on a new one; messages that were queued while the peer could not be reached are
+ * dropped. {@link #send} is thread safe and never blocks.
  */
 final class PeerSender implements AutoCloseable {
     private static final System.Logger LOGGER = System.getLogger(PeerSender.class.getName());
     private static final int CONNECT_TIMEOUT_MS = 300;
-    private static final int ANSWER_TIMEOUT_MS = 300;
-    private static final long IDLE_CLOSE_MS = 2_000;
-    private static final long CLOSE_WAIT_MS = 300;
+    private static final int REPLY_TIMEOUT_MS = 300;
+    private static final long IDLE_TIMEOUT_MS = 2_000;
+    private static final long STOP_TIMEOUT_MS = 300;
     private static final long RETRY_PAUSE_MS = 50;
 
     private final NodeName self;
     private final NodeName peer;
     private final InetSocketAddress address;
     private final PeerQueue queue = new PeerQueue();
-    private final Thread worker;
+    private final Thread thread;
     private Optional<TSocket> socket = Optional.empty();
     private Optional<LogService.Client> client = Optional.empty();
     private boolean reachable = true;
@@ -40,9 +41,9 @@
         this.self = self;
         this.peer = peer;
         this.address = address;
-        this.worker = new Thread(this::run, "log-send-" + peer);
-        worker.setDaemon(true);
-        worker.start();
+        this.thread = new Thread(this::run, "log-send-" + peer);
+        thread.setDaemon(true);
+        thread.start();
     }
 
     void send(LogMessage message) {
@@ -51,10 +52,10 @@
 
     private void run() {
         try {
-            List<LogMessage> batch = queue.take(IDLE_CLOSE_MS);
+            List<LogMessage> batch = queue.take(IDLE_TIMEOUT_MS);
             while (!batch.isEmpty() || !queue.isClosed()) {
                 deliver(batch);
-                batch = queue.take(IDLE_CLOSE_MS);
+                batch = queue.take(IDLE_TIMEOUT_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -76,36 +77,39 @@
         }
     }
 
-    /** Sends on the open connection or on a new one; closes it if that fails. */
+    /**
+     * Sends the batch on the open connection or a new one, and closes the connection if that fails. Returns whether the
+     * peer replied.
+     */
     private boolean attempt(List<LogMessage> batch) {
         try {
-            connected()
+            connectedClient()
                     .deliver(new LogEnvelope(
                             self.value(), batch.stream().map(WireCodec::encode).toList()));
-            noteReachable(true, "answers");
+            setReachable(true, "reachable again");
             return true;
         } catch (TException e) {
-            noteReachable(false, String.valueOf(e.getMessage()));
+            setReachable(false, String.valueOf(e.getMessage()));
             disconnect();
             return false;
         }
     }
 
-    private LogService.Client connected() throws TException {
+    private LogService.Client connectedClient() throws TException {
         if (client.isPresent()) {
             return client.get();
         }
-        TSocket opened = new TSocket(
-                LogFrames.CONFIGURATION,
+        TSocket newSocket = new TSocket(
+                LogFrameLimits.CONFIGURATION,
                 address.getHostString(),
                 address.getPort(),
-                ANSWER_TIMEOUT_MS,
+                REPLY_TIMEOUT_MS,
                 CONNECT_TIMEOUT_MS);
-        opened.open();
-        socket = Optional.of(opened);
-        LogService.Client created = new LogService.Client(new TBinaryProtocol(new TFramedTransport(opened)));
-        client = Optional.of(created);
-        return created;
+        newSocket.open();
+        socket = Optional.of(newSocket);
+        LogService.Client newClient = new LogService.Client(new TBinaryProtocol(new TFramedTransport(newSocket)));
+        client = Optional.of(newClient);
+        return newClient;
     }
 
     private void disconnect() {
@@ -114,22 +118,22 @@
         client = Optional.empty();
     }
 
-    private void noteReachable(boolean now, String detail) {
-        if (now != reachable) {
-            reachable = now;
-            LOGGER.log(now ? Level.INFO : Level.WARNING, "control VM {0} at {1}: {2}", peer, address, detail);
+    private void setReachable(boolean reachableNow, String detail) {
+        if (reachableNow != reachable) {
+            reachable = reachableNow;
+            LOGGER.log(reachableNow ? Level.INFO : Level.WARNING, "control VM {0} at {1}: {2}", peer, address, detail);
         }
     }
 
-    /** Sends what waits, for a bounded time, then ends the worker. */
+    /** Sends the queued messages for a bounded time, then stops the thread. */
     @Override
     public void close() {
         queue.close();
         try {
-            worker.join(CLOSE_WAIT_MS);
+            thread.join(STOP_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        worker.interrupt();
+        thread.interrupt();
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/log/PendingCommands.java
+++ b/src/main/java/org/wigeongrade/nodes/log/PendingCommands.java
@@ -10,15 +10,15 @@
 import org.wigeongrade.errors.WigeongradeException;
 
 /**
- * Commands proposed here whose fate is open.
+ * Commands that this replica proposed and whose outcome is not known yet.
  *
- * <p>Invariant: each future ends exactly once, on the executor. Used by the writer thread only.
+ * <p>Invariant: each future is completed exactly once, on the executor. Used by the writer thread only.
  */
 final class PendingCommands {
     private record Pending(long term, CompletableFuture<byte[]> future) {}
 
     private final TreeMap<Long, Pending> byIndex = new TreeMap<>();
-    private final List<Runnable> decided = new ArrayList<>();
+    private final List<Runnable> completions = new ArrayList<>();
     private final Executor callbacks;
 
     PendingCommands(Executor callbacks) {
@@ -29,40 +29,44 @@
         byIndex.put(index, new Pending(term, future));
     }
 
-    void applied(LogEntry entry, byte[] result) {
+    void entryApplied(LogEntry entry, byte[] result) {
         Pending pending = byIndex.remove(entry.index());
         if (pending == null) {
             return;
         }
         if (pending.term() == entry.term()) {
-            decided.add(() -> pending.future().complete(result));
+            completions.add(() -> pending.future().complete(result));
         } else {
-            fail(pending.future(), unknown());
+            fail(pending.future(), outcomeUnknown());
         }
     }
 
     void failAll() {
-        List<Pending> open = new ArrayList<>(byIndex.values());
+        List<Pending> unresolved = new ArrayList<>(byIndex.values());
         byIndex.clear();
-        open.forEach(pending -> fail(pending.future(), unknown()));
+        unresolved.forEach(pending -> fail(pending.future(), outcomeUnknown()));
     }
 
     void fail(CompletableFuture<byte[]> future, WigeongradeException failure) {
-        decided.add(() -> future.completeExceptionally(failure));
+        completions.add(() -> future.completeExceptionally(failure));
     }
 
-    /** Ends the futures decided since the last call; call it once what they tell can be seen from other threads. */
-    void release() {
-        if (decided.isEmpty()) {
+    /**
+     * Completes the futures whose outcome was decided since the last call. Call this once other threads can see the
+     * state that the outcomes refer to.
+     */
+    void runCompletions() {
+        if (completions.isEmpty()) {
             return;
         }
-        List<Runnable> ready = new ArrayList<>(decided);
-        decided.clear();
-        callbacks.execute(() -> ready.forEach(Runnable::run));
+        List<Runnable> due = new ArrayList<>(completions);
+        completions.clear();
+        callbacks.execute(() -> due.forEach(Runnable::run));
     }
 
-    private static WigeongradeException unknown() {
+    private static WigeongradeException outcomeUnknown() {
         return new WigeongradeException(
-                ErrorKind.OUTCOME_UNKNOWN, "the lead was lost before the command's fate was known; read the state");
+                ErrorKind.OUTCOME_UNKNOWN,
+                "leadership was lost before the command's outcome was known; read the state");
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/log/RaftReplicatedLog.java
+++ b/src/main/java/org/wigeongrade/nodes/log/RaftReplicatedLog.java
@@ -25,12 +25,12 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Runs one replica: one writer thread owns the core, the files and the state machine, and takes its inputs from a bounded
- * queue.
+ * Runs one replica. A single writer thread owns the Raft core, the files and the state machine, and takes its inputs
+ * from a bounded queue.
  *
- * <p>Invariants: inputs that wait together share one sync; after a failure of the disk or of the digest chain nothing
- * more is sent, stored or applied. Thread safe; no lock is held while the queue or a peer is waited for, so there is no
- * lock order to keep.
+ * <p>Invariants: inputs that wait in the queue together share one sync; after a disk failure or a digest mismatch,
+ * nothing more is sent, stored or applied. Thread safe; no lock is held while waiting for the queue or a peer, so there
+ * is no lock order to follow.
  */
 public final class RaftReplicatedLog implements ReplicatedLog {
     private static final System.Logger LOGGER = System.getLogger(RaftReplicatedLog.class.getName());
@@ -41,7 +41,7 @@
     private static final long STOP_TIMEOUT_MS = 5_000;
     private static final int TICKS_PER_HEARTBEAT = 5;
 
-    /** What other threads see; replaced as a whole after each round of the writer thread. */
+    /** The state visible to other threads. The writer thread replaces it as a whole after each batch of inputs. */
     private record Status(
             long term,
             Optional<NodeName> leader,
@@ -53,7 +53,7 @@
 
     private sealed interface Input {}
 
-    private record HandOver() implements Input {}
+    private record TransferLeadership() implements Input {}
 
     private record Discovered(NodeName peer) implements Input {}
 
@@ -66,7 +66,7 @@
     private final LogTransport transport;
     private final LongSupplier clock;
     private final RaftCore core;
-    private final ReplicaWork work;
+    private final CoreOutputExecutor outputExecutor;
     private final PendingCommands pending;
     private final Consumer<RuntimeException> onFailure;
     private final BlockingQueue<Input> inputs = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
@@ -74,18 +74,20 @@
     private final Thread writer;
     private final long tickNanos;
     private long nextTickNanos;
-    private long leadTerm;
+    private long proposalTerm;
     private volatile Status status;
     private volatile boolean stopping;
-    /** Set before the last inputs are taken out, so that an input offered later takes itself out. */
-    private volatile boolean ended;
+    /**
+     * Set before the writer thread removes the last inputs. A caller that offers a command after that removes it again.
+     */
+    private volatile boolean inputsDrained;
 
-    /** Makes a replica that is not started yet; {@code transport} must hand incoming messages to {@link #receive}. */
+    /** Creates a replica that is not started yet; {@code transport} must pass incoming messages to {@link #receive}. */
     public RaftReplicatedLog(
             CoreSettings settings,
             LogStore store,
             LogTransport transport,
-            ReplicatedStateMachine machine,
+            ReplicatedStateMachine stateMachine,
             LongSupplier clock,
             RandomGenerator random,
             long compactAfterEntries,
@@ -98,10 +100,11 @@
         this.tickNanos = settings.timings().heartbeatNanos() / TICKS_PER_HEARTBEAT;
         this.nextTickNanos = clock.getAsLong();
         this.core = new RaftCore(settings, store.recovered(), random, nextTickNanos);
-        this.callbacks = Executors.newSingleThreadExecutor(task -> daemon(task, "log-callbacks"));
+        this.callbacks = Executors.newSingleThreadExecutor(task -> daemonThread(task, "log-callbacks"));
         this.pending = new PendingCommands(callbacks);
-        this.work = new ReplicaWork(core, store, transport, machine, pending, compactAfterEntries);
-        store.recovered().snapshot().ifPresent(work::restore);
+        this.outputExecutor =
+                new CoreOutputExecutor(core, store, transport, stateMachine, pending, compactAfterEntries);
+        store.recovered().snapshot().ifPresent(outputExecutor::restore);
         this.status = new Status(
                 core.term(),
                 Optional.empty(),
@@ -110,25 +113,28 @@
                 core.appliedIndex(),
                 core.membership(),
                 core.isVoter());
-        this.writer = daemon(this::run, "log-writer");
+        this.writer = daemonThread(this::run, "log-writer");
     }
 
     /**
-     * Opens the data folder, listens and starts the replica. A folder that lost something is set aside and a new
-     * incarnation starts as a learner.
+     * Opens the data folder, starts listening and starts the replica. The files of a folder with data loss are moved
+     * away, and a new incarnation starts as a learner.
      */
     public static RaftReplicatedLog open(
-            LogSettings settings, ReplicatedStateMachine machine, Consumer<RuntimeException> onFailure) {
-        return LogOpening.open(settings, machine, System::nanoTime, onFailure);
+            LogSettings settings, ReplicatedStateMachine stateMachine, Consumer<RuntimeException> onFailure) {
+        return ReplicatedLogOpener.open(settings, stateMachine, System::nanoTime, onFailure);
     }
 
-    /** Opens as {@link #open(LogSettings, ReplicatedStateMachine, Consumer)} does, with a clock of its own. */
+    /**
+     * Opens a replica like {@link #open(LogSettings, ReplicatedStateMachine, Consumer)}, but with the given monotonic
+     * clock.
+     */
     public static RaftReplicatedLog open(
             LogSettings settings,
-            ReplicatedStateMachine machine,
+            ReplicatedStateMachine stateMachine,
             LongSupplier clock,
             Consumer<RuntimeException> onFailure) {
-        return LogOpening.open(settings, machine, clock, onFailure);
+        return ReplicatedLogOpener.open(settings, stateMachine, clock, onFailure);
     }
 
     /** Starts the writer thread. */
@@ -136,11 +142,15 @@
         writer.start();
     }
 
-    /** Takes a message from a peer; drops it if too many wait. Never blocks. */
+    /** Queues a message from a peer, or drops it if the queue is full. Never blocks. */
     public void receive(NodeName from, LogMessage message) {
-        boolean taken = !stopping && inputs.offer(new Received(from, message));
-        if (!taken && !stopping) {
-            LOGGER.log(Level.WARNING, "log message from {0} dropped: {1} inputs wait", from, QUEUE_CAPACITY);
+        boolean accepted = !stopping && inputs.offer(new Received(from, message));
+        if (!accepted && !stopping) {
+            LOGGER.log(
+                    Level.WARNING,
+                    "log message from {0} dropped: the queue is full with {1} inputs",
+                    from,
+                    QUEUE_CAPACITY);
         }
     }
 
@@ -151,10 +161,10 @@
         }
         CompletableFuture<byte[]> future = new CompletableFuture<>();
         Submitted submitted = new Submitted(Bytes.wrap(command.clone()), future);
-        boolean taken = !stopping && inputs.offer(submitted);
-        boolean leftBehind = taken && ended && inputs.remove(submitted);
-        if (!taken || leftBehind) {
-            future.completeExceptionally(unavailable());
+        boolean accepted = !stopping && inputs.offer(submitted);
+        boolean unprocessed = accepted && inputsDrained && inputs.remove(submitted);
+        if (!accepted || unprocessed) {
+            future.completeExceptionally(notLeader());
         }
         return future;
     }
@@ -185,19 +195,19 @@
         return status.appliedIndex();
     }
 
-    /** Takes the news that a control VM exists; a leader then sends the log to it. Never blocks. */
+    /** Adds a newly discovered control VM, to which a leader then sends the log. Never blocks. */
     public void discover(NodeName peer) {
         if (stopping || !inputs.offer(new Discovered(peer))) {
-            LOGGER.log(Level.WARNING, "control VM {0} not taken up yet: {1} inputs wait", peer, inputs.size());
+            LOGGER.log(Level.WARNING, "control VM {0} not added: {1} inputs are queued", peer, inputs.size());
         }
     }
 
-    /** Returns the latest voters known here, each with the incarnation of its data folder. */
+    /** Returns the latest voters that this replica knows, each with the incarnation of its data folder. */
     public Membership membership() {
         return status.membership();
     }
 
-    /** Returns whether this replica votes; if not, it is a learner that catches up. */
+    /** Returns whether this replica is a voter; otherwise it is a learner that is catching up. */
     public boolean isVoter() {
         return status.voter();
     }
@@ -205,26 +215,27 @@
     private void run() {
         try {
             while (!stopping) {
-                round();
+                processBatch();
             }
-            giveUpLead();
-            work.run(clock);
+            startLeadershipTransfer();
+            outputExecutor.run(clock);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (RuntimeException e) {
-            LOGGER.log(Level.ERROR, "the replicated log stops on this VM: " + e.getMessage(), e);
+            LOGGER.log(Level.ERROR, "the replicated log on this VM stops: " + e.getMessage(), e);
             stopping = true;
             onFailure.accept(e);
         } catch (Error e) {
             stopping = true;
-            onFailure.accept(new WigeongradeException(ErrorKind.INTERNAL, "the log's writer thread ended: " + e, e));
+            onFailure.accept(
+                    new WigeongradeException(ErrorKind.INTERNAL, "the writer thread of the log failed: " + e, e));
             throw e;
         } finally {
-            end();
+            terminate();
         }
     }
 
-    private void round() throws InterruptedException {
+    private void processBatch() throws InterruptedException {
         long waitNanos = Math.max(0, nextTickNanos - clock.getAsLong());
         Input first = inputs.poll(waitNanos, TimeUnit.NANOSECONDS);
         List<Input> batch = new ArrayList<>();
@@ -233,64 +244,69 @@
             inputs.drainTo(batch, MAX_INPUTS_PER_SYNC);
         }
         for (Input input : batch) {
-            take(input);
+            process(input);
         }
         long nowNanos = clock.getAsLong();
         if (nowNanos - nextTickNanos >= 0) {
             core.tick(nowNanos);
             nextTickNanos = nowNanos + tickNanos;
         }
-        work.run(clock);
-        publish();
+        outputExecutor.run(clock);
+        publishStatus();
     }
 
-    private void take(Input input) {
+    private void process(Input input) {
         if (input instanceof Received received) {
             core.receive(received.from(), received.message(), clock.getAsLong());
         } else if (input instanceof Submitted submitted) {
             propose(submitted);
         } else if (input instanceof Discovered discovered) {
             core.discover(discovered.peer());
-        } else if (input instanceof HandOver) {
-            giveUpLead();
+        } else if (input instanceof TransferLeadership) {
+            startLeadershipTransfer();
         }
     }
 
-    /** Gives up the lead; the lease is seen to have ended before the successor is told to stand. */
-    private void giveUpLead() {
+    /**
+     * Gives up leadership. Other threads see that the lease has ended before the successor is told to start an
+     * election.
+     */
+    private void startLeadershipTransfer() {
         core.handOver(clock.getAsLong());
-        publish();
+        publishStatus();
     }
 
     private void propose(Submitted submitted) {
-        boolean backedUp = core.last().index() - core.commitIndex() >= MAX_UNCOMMITTED_ENTRIES;
-        OptionalLong index = backedUp ? OptionalLong.empty() : core.propose(submitted.command());
+        boolean tooManyUncommitted = core.last().index() - core.commitIndex() >= MAX_UNCOMMITTED_ENTRIES;
+        OptionalLong index = tooManyUncommitted ? OptionalLong.empty() : core.propose(submitted.command());
         if (index.isEmpty()) {
-            pending.fail(submitted.future(), backedUp ? LogRefusals.backedUp(MAX_UNCOMMITTED_ENTRIES) : unavailable());
+            pending.fail(
+                    submitted.future(),
+                    tooManyUncommitted ? LogRefusals.tooManyUncommitted(MAX_UNCOMMITTED_ENTRIES) : notLeader());
             return;
         }
-        leadTerm = core.term();
-        pending.add(index.getAsLong(), leadTerm, submitted.future());
+        proposalTerm = core.term();
+        pending.add(index.getAsLong(), proposalTerm, submitted.future());
     }
 
-    private void publish() {
-        boolean lostLead = core.leaderSinceNanos().isEmpty() || core.term() != leadTerm;
-        if (lostLead) {
+    private void publishStatus() {
+        boolean lostLeadership = core.leaderSinceNanos().isEmpty() || core.term() != proposalTerm;
+        if (lostLeadership) {
             pending.failAll();
         }
-        OptionalLong sinceNanos = core.leaderSinceNanos();
+        OptionalLong leaderSinceNanos = core.leaderSinceNanos();
         status = new Status(
                 core.term(),
                 core.leader(),
-                sinceNanos.orElse(status.leaderSinceNanos()),
+                leaderSinceNanos.orElse(status.leaderSinceNanos()),
                 core.leaseDeadlineNanos(clock.getAsLong()),
                 core.appliedIndex(),
                 core.membership(),
                 core.isVoter());
-        pending.release();
+        pending.runCompletions();
     }
 
-    private void end() {
+    private void terminate() {
         status = new Status(
                 status.term(),
                 Optional.empty(),
@@ -300,34 +316,37 @@
                 status.membership(),
                 status.voter());
         pending.failAll();
-        ended = true;
-        List<Input> rest = new ArrayList<>();
-        inputs.drainTo(rest);
-        for (Input input : rest) {
+        inputsDrained = true;
+        List<Input> remaining = new ArrayList<>();
+        inputs.drainTo(remaining);
+        for (Input input : remaining) {
             if (input instanceof Submitted submitted) {
-                pending.fail(submitted.future(), unavailable());
+                pending.fail(submitted.future(), notLeader());
             }
         }
-        pending.release();
+        pending.runCompletions();
         transport.close();
         store.close();
     }
 
-    private WigeongradeException unavailable() {
-        return LogRefusals.notLeading(settings.self(), status.leader());
+    private WigeongradeException notLeader() {
+        return LogRefusals.notLeader(settings.self(), status.leader());
     }
 
-    private static Thread daemon(Runnable task, String name) {
+    private static Thread daemonThread(Runnable task, String name) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Gives the lead to the voter that holds most, if this replica leads; returns without waiting for it. */
+    /**
+     * Transfers leadership to the voter with the most complete log, if this replica is the leader. Returns without
+     * waiting for the transfer.
+     */
     public void handOver() {
-        boolean taken = inputs.offer(new HandOver());
-        if (!taken) {
-            LOGGER.log(Level.WARNING, "lead not handed over: {0} inputs wait", QUEUE_CAPACITY);
+        boolean accepted = inputs.offer(new TransferLeadership());
+        if (!accepted) {
+            LOGGER.log(Level.WARNING, "leadership not transferred: the queue is full with {0} inputs", QUEUE_CAPACITY);
         }
     }
 
--- a/src/main/java/org/wigeongrade/nodes/log/ReplicatedLog.java
+++ b/src/main/java/org/wigeongrade/nodes/log/ReplicatedLog.java
@@ -5,23 +5,23 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * The replicated log as the rest of a control VM sees it.
+ * The interface of the replicated log to the rest of a control VM.
  *
  * <p>Invariant: a future returned by {@link #submit} completes normally only after the command is durable on a quorum
  * and applied here. Thread safe.
  */
 public interface ReplicatedLog extends AutoCloseable {
     /**
-     * Proposes a command and gives the state machine's result. Fails with {@link
+     * Proposes a command and returns the state machine's result. Fails with {@link
      * org.wigeongrade.errors.WigeongradeException} of kind CONTROL_UNAVAILABLE if this VM is not the leader, and with
-     * kind OUTCOME_UNKNOWN if it lost the lead before the command's fate was known.
+     * kind OUTCOME_UNKNOWN if it lost leadership before the command's outcome was known.
      */
     CompletableFuture<byte[]> submit(byte[] command);
 
-    /** Returns whether this VM leads and a quorum has confirmed it within its own lease. */
+    /** Returns whether this VM is the leader and its lease, confirmed by a quorum, is still valid. */
     boolean leadsWithLease();
 
-    /** Returns the current leader, if this VM knows one. */
+    /** Returns the current leader, or empty if this VM knows none. */
     Optional<NodeName> leader();
 
     /** Returns the current term; it never decreases. */
@@ -30,7 +30,7 @@
     /** Returns when this VM became leader of the current term, on the monotonic clock in nanoseconds. */
     long leaderSinceNanos();
 
-    /** Returns the position of the last command applied here. */
+    /** Returns the index of the last log entry that this VM applied. */
     long appliedIndex();
 
     @Override
--- a/src/main/java/org/wigeongrade/nodes/log/LogOpening.java
+++ b/src/main/java/org/wigeongrade/nodes/log/ReplicatedLogOpener.java
@@ -4,33 +4,40 @@
 import java.security.SecureRandom;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.wigeongrade.disk.DiskLostException;
+import org.wigeongrade.disk.DataLossException;
 import org.wigeongrade.disk.FileOperations;
 import org.wigeongrade.disk.LogStore;
 
-/** Opens the data folder, listens and starts a replica. Stateless. */
-final class LogOpening {
-    private static final System.Logger LOGGER = System.getLogger(LogOpening.class.getName());
+/** Opens the data folder, starts listening and starts a replica. Stateless. */
+final class ReplicatedLogOpener {
+    private static final System.Logger LOGGER = System.getLogger(ReplicatedLogOpener.class.getName());
 
-    private LogOpening() {}
+    private ReplicatedLogOpener() {}
 
     static RaftReplicatedLog open(
             LogSettings settings,
-            ReplicatedStateMachine machine,
+            ReplicatedStateMachine stateMachine,
             LongSupplier clock,
             Consumer<RuntimeException> onFailure) {
         SecureRandom random = new SecureRandom();
         LogStore store = openStore(settings, random);
-        LateReceiver receiver = new LateReceiver();
+        DeferredReceiver receiver = new DeferredReceiver();
         LogTransport transport = listen(settings, store, receiver);
         RaftReplicatedLog log = new RaftReplicatedLog(
-                settings.core(), store, transport, machine, clock, random, settings.compactAfterEntries(), onFailure);
+                settings.core(),
+                store,
+                transport,
+                stateMachine,
+                clock,
+                random,
+                settings.compactAfterEntries(),
+                onFailure);
         receiver.connect(log);
         log.start();
         return log;
     }
 
-    private static LogTransport listen(LogSettings settings, LogStore store, LateReceiver receiver) {
+    private static LogTransport listen(LogSettings settings, LogStore store, DeferredReceiver receiver) {
         try {
             return ThriftLogTransport.start(
                     settings.core().self(), settings.listenAddress(), settings.directory(), receiver);
@@ -43,11 +50,11 @@
     private static LogStore openStore(LogSettings settings, SecureRandom random) {
         try {
             return LogStore.open(settings.folder(), FileOperations.SYSTEM, random::nextLong);
-        } catch (DiskLostException e) {
+        } catch (DataLossException e) {
             LOGGER.log(
                     Level.ERROR,
-                    "data folder counts as lost, a new incarnation starts as a learner: " + e.getMessage());
-            LogStore.setAside(settings.folder(), FileOperations.SYSTEM);
+                    "the data folder has lost data; a new incarnation starts as a learner: " + e.getMessage());
+            LogStore.moveToLostFolder(settings.folder(), FileOperations.SYSTEM);
             return LogStore.open(settings.folder(), FileOperations.SYSTEM, random::nextLong);
         }
     }
--- a/src/main/java/org/wigeongrade/nodes/log/ThriftLogTransport.java
+++ b/src/main/java/org/wigeongrade/nodes/log/ThriftLogTransport.java
@@ -19,14 +19,14 @@
 import org.wigeongrade.nodes.log.thrift.WireMessage;
 
 /**
- * Carries log messages between control VMs over framed Thrift, with a port of its own.
+ * Carries log messages between control VMs over framed Thrift on a separate port.
  *
- * <p>Invariants: messages from unknown senders are dropped; an incoming connection that stays silent past its read
- * deadline is closed; after {@link #close} no message counts as received. Thread safe.
+ * <p>Invariants: messages from unknown senders are dropped; an incoming connection that is silent for longer than the
+ * read timeout is closed; no message that arrives after {@link #close} is acknowledged. Thread safe.
  */
 public final class ThriftLogTransport implements LogTransport {
     private static final System.Logger LOGGER = System.getLogger(ThriftLogTransport.class.getName());
-    private static final int SILENT_CLOSE_MS = 5_000;
+    private static final int READ_TIMEOUT_MS = 5_000;
     private static final int MAX_CONNECTIONS = 32;
     private static final int STOP_TIMEOUT_S = 1;
 
@@ -39,13 +39,13 @@
 
     private ThriftLogTransport(
             NodeName self,
-            TServerSocket listening,
+            TServerSocket serverSocket,
             PeerDirectory directory,
             BiConsumer<NodeName, LogMessage> receiver) {
         this.self = self;
         this.directory = directory;
         this.receiver = receiver;
-        TThreadPoolServer.Args args = new TThreadPoolServer.Args(listening)
+        TThreadPoolServer.Args args = new TThreadPoolServer.Args(serverSocket)
                 .processor(new LogService.Processor<LogService.Iface>(this::deliver))
                 .transportFactory(new TFramedTransport.Factory())
                 .protocolFactory(new TBinaryProtocol.Factory())
@@ -55,7 +55,9 @@
         this.server = new TThreadPoolServer(args);
     }
 
-    /** Listens and starts the workers; fails with CONTROL_UNAVAILABLE if the address cannot be listened on. */
+    /**
+     * Starts to listen and to accept connections; fails with CONTROL_UNAVAILABLE if it cannot listen on the address.
+     */
     public static ThriftLogTransport start(
             NodeName self,
             InetSocketAddress listenAddress,
@@ -83,7 +85,7 @@
         try {
             NodeName sender = NodeName.of(envelope.getSender());
             if (directory.addressOf(sender).isEmpty()) {
-                LOGGER.log(Level.WARNING, "log message from {0} dropped: not a configured control VM", sender);
+                LOGGER.log(Level.WARNING, "log message from {0} dropped: the sender is not a known control VM", sender);
                 return;
             }
             for (WireMessage message : envelope.getMessages()) {
@@ -98,7 +100,7 @@
         try {
             return new TServerSocket(new TServerSocket.ServerSocketTransportArgs()
                     .bindAddr(address)
-                    .clientTimeout(SILENT_CLOSE_MS));
+                    .clientTimeout(READ_TIMEOUT_MS));
         } catch (TTransportException e) {
             throw new WigeongradeException(
                     ErrorKind.CONTROL_UNAVAILABLE, "cannot listen on " + address + " for the replicated log", e);
--- a/src/main/java/org/wigeongrade/nodes/log/WireCodec.java
+++ b/src/main/java/org/wigeongrade/nodes/log/WireCodec.java
@@ -25,7 +25,7 @@
 import org.wigeongrade.nodes.log.thrift.WireVoteReply;
 import org.wigeongrade.nodes.log.thrift.WireVoteRequest;
 
-/** Turns log messages into their Thrift form and back. Stateless. */
+/** Converts log messages to and from their Thrift form. Stateless. */
 final class WireCodec {
     private WireCodec() {}
 
@@ -67,7 +67,7 @@
         throw new IllegalArgumentException("message type " + message.getClass() + " has no Thrift form; add one");
     }
 
-    /** Reads a message; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Decodes a message; throws {@link IllegalArgumentException} if it is malformed. */
     static LogMessage decode(WireMessage wire) {
         return switch (wire.getSetField()) {
             case VOTE_REQUEST -> decode(wire.getVote_request());
--- a/src/main/java/org/wigeongrade/nodes/log/package-info.java
+++ b/src/main/java/org/wigeongrade/nodes/log/package-info.java
@@ -1,2 +1,2 @@
-/** Runs the replicated log between control VMs: threads, Thrift transport and files around {@code decisions.log}. */
+/** Runs the replicated log of the control VMs: threads, Thrift transport and files for {@code decisions.log}. */
 package org.wigeongrade.nodes.log;
--- a/src/main/java/org/wigeongrade/nodes/package-info.java
+++ b/src/main/java/org/wigeongrade/nodes/package-info.java
@@ -1,2 +1,2 @@
-/** Everything that processes of this system say to each other, over Thrift. */
+/** The Thrift communication between the processes of a fleet. */
 package org.wigeongrade.nodes;
