--- a/src/test/java/org/wigeongrade/disk/FaultyFiles.java
+++ b/src/test/java/org/wigeongrade/disk/FaultyFileOperations.java
@@ -6,9 +6,9 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** System calls of which one can be made to fail. Thread safe. */
-public final class FaultyFiles implements FileOperations {
-    /** Which call fails. */
+/** File operations of which one kind at a time can be made to fail. Thread safe. */
+public final class FaultyFileOperations implements FileOperations {
+    /** The kinds of calls that can fail. */
     public enum Call {
         WRITE,
         SYNC,
@@ -16,39 +16,39 @@
         RENAME_LOG
     }
 
-    private volatile Optional<Call> failing = Optional.empty();
+    private volatile Optional<Call> failingCall = Optional.empty();
     private volatile String message = "Input/output error";
 
     /** Makes every later call of this kind fail. */
-    public void fail(Call call, String failureMessage) {
+    public void failEvery(Call call, String failureMessage) {
         message = failureMessage;
-        failing = Optional.of(call);
+        failingCall = Optional.of(call);
     }
 
-    public void mend() {
-        failing = Optional.empty();
+    public void stopFailing() {
+        failingCall = Optional.empty();
     }
 
     @Override
     public void write(FileChannel channel, ByteBuffer bytes) throws IOException {
-        check(Call.WRITE);
+        throwIfFailing(Call.WRITE);
         FileOperations.super.write(channel, bytes);
     }
 
     @Override
     public void sync(FileChannel channel) throws IOException {
-        check(Call.SYNC);
+        throwIfFailing(Call.SYNC);
         FileOperations.super.sync(channel);
     }
 
     @Override
     public void rename(Path from, Path to) throws IOException {
-        check(to.endsWith("log") ? Call.RENAME_LOG : Call.RENAME_STATE);
+        throwIfFailing(to.endsWith("log") ? Call.RENAME_LOG : Call.RENAME_STATE);
         FileOperations.super.rename(from, to);
     }
 
-    private void check(Call call) throws IOException {
-        if (failing.equals(Optional.of(call))) {
+    private void throwIfFailing(Call call) throws IOException {
+        if (failingCall.equals(Optional.of(call))) {
             throw new IOException(message);
         }
     }
--- a/src/test/java/org/wigeongrade/disk/LogStoreTest.java
+++ b/src/test/java/org/wigeongrade/disk/LogStoreTest.java
@@ -39,10 +39,10 @@
     @TempDir
     Path folder;
 
-    private final FaultyFiles files = new FaultyFiles();
+    private final FaultyFileOperations files = new FaultyFileOperations();
 
     @Test
-    void whatWasSyncedIsReadBack() {
+    void syncedStateIsReadBackAfterAReopen() {
         List<LogEntry> entries = entries(Position.START, 5);
         try (LogStore store = open()) {
             store.saveHardState(VOTED);
@@ -57,160 +57,160 @@
     }
 
     @Test
-    void anEntryDropsWhatWasAtItsIndexAndAfter() {
+    void anAppendedEntryReplacesAllEntriesFromItsIndexOn() {
         List<LogEntry> old = entries(Position.START, 4);
         LogEntry replacement = LogEntry.after(old.get(1).position(), 9, EntryKind.NO_OP, Bytes.EMPTY);
         try (LogStore store = open()) {
             store.append(old);
             store.append(ImmutableList.of(replacement));
         }
-        assertThat(reopened().entries())
+        assertThat(recoveredAfterReopen().entries())
                 .containsExactly(old.get(0), old.get(1), replacement)
                 .inOrder();
     }
 
     @Test
-    void aTailTornAtAnyByteIsCut() throws IOException {
+    void aLastFrameTornAtAnyByteIsDropped() throws IOException {
         List<LogEntry> entries = entries(Position.START, 3);
-        long wholeBytes = writeTwoBatches(entries);
-        byte[] file = Files.readAllBytes(log());
-        for (int sizeBytes = (int) wholeBytes; sizeBytes < file.length; sizeBytes++) {
-            Files.write(log(), Arrays.copyOf(file, sizeBytes));
-            assertWithMessage("cut at %s", sizeBytes)
-                    .that(reopened().entries())
+        long firstFramesBytes = writeTwoBatches(entries);
+        byte[] file = Files.readAllBytes(logPath());
+        for (int sizeBytes = (int) firstFramesBytes; sizeBytes < file.length; sizeBytes++) {
+            Files.write(logPath(), Arrays.copyOf(file, sizeBytes));
+            assertWithMessage("truncated to %s bytes", sizeBytes)
+                    .that(recoveredAfterReopen().entries())
                     .containsExactlyElementsIn(entries.subList(0, 2));
         }
     }
 
     @Test
-    void damageBeforeTheLastRecordAtAnyByteMakesTheFolderLost() throws IOException {
-        long lastRecordOffset = writeTwoBatches(entries(Position.START, 3));
-        byte[] file = Files.readAllBytes(log());
-        for (int at = 0; at < lastRecordOffset; at++) {
+    void damageAtAnyByteBeforeTheLastFrameIsDataLoss() throws IOException {
+        long lastFrameOffset = writeTwoBatches(entries(Position.START, 3));
+        byte[] file = Files.readAllBytes(logPath());
+        for (int at = 0; at < lastFrameOffset; at++) {
             byte[] damaged = file.clone();
             damaged[at] ^= 0x10;
-            Files.write(log(), damaged);
-            assertThrows(DiskLostException.class, this::open, "damage at " + at);
+            Files.write(logPath(), damaged);
+            assertThrows(DataLossException.class, this::open, "damage at byte " + at);
         }
     }
 
     @Test
-    void damageToTheLastEntriesMakesTheFolderLostOnceTheyAreMarked() throws IOException {
-        long markOffset;
+    void damageToTheLastBatchIsDataLossOnceItIsSealed() throws IOException {
+        long sealOffset;
         try (LogStore store = open()) {
             store.append(entries(Position.START, 3));
-            markOffset = store.logSizeBytes();
-            store.mark();
+            sealOffset = store.logSizeBytes();
+            store.sealLastBatch();
         }
-        byte[] file = Files.readAllBytes(log());
+        byte[] file = Files.readAllBytes(logPath());
         for (int at = 0; at < file.length; at++) {
             byte[] damaged = file.clone();
             damaged[at] ^= 0x10;
-            Files.write(log(), damaged);
-            if (at < markOffset) {
-                assertThrows(DiskLostException.class, this::open, "damage at " + at);
+            Files.write(logPath(), damaged);
+            if (at < sealOffset) {
+                assertThrows(DataLossException.class, this::open, "damage at byte " + at);
             } else {
-                assertThat(reopened().entries()).hasSize(3);
+                assertThat(recoveredAfterReopen().entries()).hasSize(3);
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"state", "log", "snapshot"})
-    void aMissingOrDamagedFileMakesTheFolderLost(String name) throws IOException {
+    void aMissingOrDamagedFileIsDataLoss(String name) throws IOException {
         writeSnapshot();
         Path path = folder.resolve(name);
         byte[] content = Files.readAllBytes(path);
         Files.delete(path);
-        assertThrows(DiskLostException.class, this::open);
+        assertThrows(DataLossException.class, this::open);
         content[content.length / 2] ^= 1;
         Files.write(path, content);
-        assertThrows(DiskLostException.class, this::open);
+        assertThrows(DataLossException.class, this::open);
     }
 
     @Test
-    void aFileOfAnotherIncarnationMakesTheFolderLost() throws IOException {
+    void aFileOfAnotherIncarnationIsDataLoss() throws IOException {
         writeSnapshot();
-        byte[] foreign = Files.readAllBytes(log());
-        LogStore.setAside(folder, files);
+        byte[] otherLog = Files.readAllBytes(logPath());
+        LogStore.moveToLostFolder(folder, files);
         LogStore.open(folder, files, () -> INCARNATION + 1).close();
-        Files.write(log(), foreign);
-        assertThrows(DiskLostException.class, this::open);
+        Files.write(logPath(), otherLog);
+        assertThrows(DataLossException.class, this::open);
     }
 
     @Test
-    void aFolderAfterALostOneIsANewIncarnationThatMayNotBootstrap() {
+    void aFolderAfterALostOneHasANewIncarnationThatMayNotBootstrap() {
         writeSnapshot();
-        LogStore.setAside(folder, files);
+        LogStore.moveToLostFolder(folder, files);
         try (LogStore store = LogStore.open(folder, files, () -> INCARNATION + 1)) {
             assertThat(store.recovered()).isEqualTo(RecoveredState.fresh(INCARNATION + 1, false));
         }
     }
 
     @Test
-    void aFolderIsSetAsideAlsoAfterAnEarlierOneWasRemoved() throws IOException {
+    void aLostFolderGetsTheLowestFreeNumber() throws IOException {
         Files.createDirectory(folder.resolve("lost-2"));
         for (String expected : new String[] {"lost-1", "lost-3"}) {
             open().close();
-            LogStore.setAside(folder, files);
+            LogStore.moveToLostFolder(folder, files);
             assertThat(Files.exists(folder.resolve(expected).resolve("log"))).isTrue();
         }
     }
 
     @Test
-    void aSnapshotShortensTheLogAndKeepsTheRest() {
+    void aSnapshotDropsTheEntriesItCoversAndKeepsTheRest() {
         Snapshot snapshot = writeSnapshot();
-        RecoveredState state = reopened();
+        RecoveredState state = recoveredAfterReopen();
         assertThat(state.snapshot()).hasValue(snapshot);
         assertThat(state.base()).isEqualTo(snapshot.position());
         assertThat(state.entries()).hasSize(2);
     }
 
     @Test
-    void aCrashBetweenSnapshotAndLogTakesTheSnapshot() {
+    void afterACrashBetweenSnapshotAndLogTheSnapshotReplacesTheLog() {
         List<LogEntry> entries = entries(Position.START, 3);
-        Position far = new Position(90, 8, entries.get(2).digest());
-        Snapshot installed = new Snapshot(far, Membership.NONE, Bytes.wrap(new byte[] {1}));
+        Position farAhead = new Position(90, 8, entries.get(2).digest());
+        Snapshot installed = new Snapshot(farAhead, Membership.NONE, Bytes.wrap(new byte[] {1}));
         try (LogStore store = open()) {
             store.append(entries);
-            files.fail(FaultyFiles.Call.RENAME_LOG, "killed");
-            assertThrows(WigeongradeException.class, () -> store.saveSnapshot(installed, far, ImmutableList.of()));
+            files.failEvery(FaultyFileOperations.Call.RENAME_LOG, "killed");
+            assertThrows(WigeongradeException.class, () -> store.saveSnapshot(installed, farAhead, ImmutableList.of()));
         }
-        files.mend();
-        RecoveredState state = reopened();
-        assertThat(state.base()).isEqualTo(far);
+        files.stopFailing();
+        RecoveredState state = recoveredAfterReopen();
+        assertThat(state.base()).isEqualTo(farAhead);
         assertThat(state.entries()).isEmpty();
     }
 
     @ParameterizedTest
-    @EnumSource(FaultyFiles.Call.class)
-    void nothingIsTakenAfterAFailureUntilTheFolderIsReadAfresh(FaultyFiles.Call call) {
+    @EnumSource(FaultyFileOperations.Call.class)
+    void afterAFailedCallEveryWriteFailsUntilTheFolderIsReopened(FaultyFileOperations.Call call) {
         List<LogEntry> entries = entries(Position.START, 2);
         try (LogStore store = open()) {
             store.saveHardState(VOTED);
-            files.fail(call, "Input/output error");
+            files.failEvery(call, "Input/output error");
             WigeongradeException failure = assertThrows(WigeongradeException.class, () -> writeAll(store, entries));
             assertThat(failure.kind()).isEqualTo(ErrorKind.DISK_FAILED);
-            files.mend();
+            files.stopFailing();
             assertThrows(WigeongradeException.class, () -> store.append(entries));
             assertThrows(WigeongradeException.class, () -> store.saveHardState(HardState.INITIAL));
         }
-        assertThat(reopened().hardState()).isEqualTo(VOTED);
+        assertThat(recoveredAfterReopen().hardState()).isEqualTo(VOTED);
     }
 
     @ParameterizedTest
     @CsvSource({"No space left on device,the disk is full", "Input/output error,check the disk"})
-    void theErrorTellsTheFix(String cause, String fix) {
+    void theErrorNamesTheRemedy(String systemMessage, String remedy) {
         try (LogStore store = open()) {
-            files.fail(FaultyFiles.Call.WRITE, cause);
+            files.failEvery(FaultyFileOperations.Call.WRITE, systemMessage);
             WigeongradeException failure =
                     assertThrows(WigeongradeException.class, () -> store.append(entries(Position.START, 1)));
-            assertThat(failure).hasMessageThat().contains(fix);
+            assertThat(failure).hasMessageThat().contains(remedy);
         }
     }
 
     @Test
-    void oneProcessHoldsTheFolder() {
+    void aFolderInUseCannotBeOpenedAgain() {
         try (LogStore store = open()) {
             WigeongradeException failure = assertThrows(WigeongradeException.class, this::open);
             assertThat(failure).hasMessageThat().contains("in use by another process");
@@ -249,13 +249,13 @@
         return LogStore.open(folder, files, () -> INCARNATION);
     }
 
-    private RecoveredState reopened() {
+    private RecoveredState recoveredAfterReopen() {
         try (LogStore store = open()) {
             return store.recovered();
         }
     }
 
-    private Path log() {
+    private Path logPath() {
         return folder.resolve("log");
     }
 
--- a/src/test/java/org/wigeongrade/nodes/log/InMemoryNetwork.java
+++ b/src/test/java/org/wigeongrade/nodes/log/InMemoryNetwork.java
@@ -6,7 +6,7 @@
 import org.wigeongrade.decisions.log.LogMessage;
 import org.wigeongrade.ids.NodeName;
 
-/** Hands messages from replica to replica in one process; nodes can be cut off. Thread safe. */
+/** Delivers messages between replicas in one process; nodes can be cut off. Thread safe. */
 final class InMemoryNetwork {
     private final Map<NodeName, RaftReplicatedLog> replicas = new ConcurrentHashMap<>();
     private final Set<NodeName> cutOff = ConcurrentHashMap.newKeySet();
--- a/src/test/java/org/wigeongrade/nodes/log/PeerSenderTest.java
+++ b/src/test/java/org/wigeongrade/nodes/log/PeerSenderTest.java
@@ -56,7 +56,10 @@
         assertThat(kept.get(1)).isEqualTo(heartbeat(1));
     }
 
-    /** Sends as heartbeats do, since messages that wait while the peer cannot be reached are dropped. */
+    /**
+     * Sends a message again and again, like heartbeats, since messages queued while the peer cannot be reached are
+     * dropped.
+     */
     private static Socket acceptWhileSending(ServerSocket server, PeerSender sender) throws IOException {
         server.setSoTimeout(RESEND_MS);
         for (int attempt = 0; attempt < RESENDS; attempt++) {
--- a/src/test/java/org/wigeongrade/nodes/log/RaftReplicatedLogFailureTest.java
+++ b/src/test/java/org/wigeongrade/nodes/log/RaftReplicatedLogFailureTest.java
@@ -26,13 +26,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wigeongrade.decisions.log.CoreSettings;
 import org.wigeongrade.decisions.log.LogTimings;
-import org.wigeongrade.disk.FaultyFiles;
+import org.wigeongrade.disk.FaultyFileOperations;
 import org.wigeongrade.disk.LogStore;
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
 import org.wigeongrade.ids.NodeName;
 
-/** Replicas whose leader's disk fails, who is cut off, or who hands over; real files, messages in memory. */
+/**
+ * Tests replicas whose leader has a disk failure, is cut off or transfers leadership. Uses real files and an in-memory
+ * network.
+ */
 final class RaftReplicatedLogFailureTest {
     private static final LogTimings FAST = LogTimings.ofMs(20, 150, 300, 120);
     private static final ImmutableSortedSet<NodeName> VOTERS =
@@ -43,8 +46,8 @@
 
     private final InMemoryNetwork network = new InMemoryNetwork();
     private final Map<NodeName, RaftReplicatedLog> logs = new TreeMap<>();
-    private final Map<NodeName, CountingMachine> machines = new TreeMap<>();
-    private final Map<NodeName, FaultyFiles> files = new TreeMap<>();
+    private final Map<NodeName, RecordingStateMachine> stateMachines = new TreeMap<>();
+    private final Map<NodeName, FaultyFileOperations> fileOperationsOf = new TreeMap<>();
     private final Map<NodeName, RuntimeException> failures = new ConcurrentHashMap<>();
 
     @BeforeEach
@@ -59,37 +62,39 @@
 
     @ParameterizedTest
     @CsvSource({"WRITE, No space left on device", "SYNC, Input/output error"})
-    void aLeaderWhoseDiskFailsStopsAndAnotherLeads(FaultyFiles.Call call, String cause) throws Exception {
+    void aLeaderWhoseDiskFailsStopsAndAnotherLeads(FaultyFileOperations.Call call, String cause) throws Exception {
         NodeName leader = awaitLeaderOtherThan(Optional.empty());
         submit(leader, "before").get(5, TimeUnit.SECONDS);
-        files.get(leader).fail(call, cause);
-        CompletableFuture<byte[]> open = submit(leader, "open");
-        assertThat(kindOf(open)).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
-        await("the failure is told", () -> failures.containsKey(leader));
+        fileOperationsOf.get(leader).failEvery(call, cause);
+        CompletableFuture<byte[]> pending = submit(leader, "open");
+        assertThat(kindOf(pending)).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
+        await("the failure is reported", () -> failures.containsKey(leader));
         assertThat(failures.get(leader)).hasMessageThat().contains(cause);
         assertThat(kindOf(submit(leader, "late"))).isEqualTo(ErrorKind.CONTROL_UNAVAILABLE);
         NodeName next = awaitLeaderOtherThan(Optional.of(leader));
         submit(next, "after").get(5, TimeUnit.SECONDS);
-        List<String> commands = machines.get(next).commands();
+        List<String> commands = stateMachines.get(next).commands();
         assertThat(commands).containsAtLeast("before", "after").inOrder();
     }
 
     @Test
-    void aLeaderCutOffLosesItsLeaseBeforeAnotherLeadsAndCatchesUpAfterwards() throws Exception {
+    void aLeaderThatIsCutOffLosesItsLeaseBeforeAnotherLeadsAndCatchesUpAfterwards() throws Exception {
         NodeName leader = awaitLeaderOtherThan(Optional.empty());
         network.cutOff(leader);
-        CompletableFuture<byte[]> open = submit(leader, "open");
+        CompletableFuture<byte[]> pending = submit(leader, "open");
         NodeName next = awaitLeaderOtherThan(Optional.of(leader));
         assertThat(logs.get(leader).leadsWithLease()).isFalse();
         submit(next, "after").get(5, TimeUnit.SECONDS);
-        assertThat(kindOf(open)).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
+        assertThat(kindOf(pending)).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
         network.heal();
-        await("the old leader catches up", () -> machines.get(leader).commands().equals(List.of("after")));
+        await(
+                "the old leader catches up",
+                () -> stateMachines.get(leader).commands().equals(List.of("after")));
         assertThat(logs.get(leader).term()).isEqualTo(logs.get(next).term());
     }
 
     @Test
-    void aHandOverNeedsNoElectionTimeout() {
+    void aLeadershipTransferNeedsNoElectionTimeout() {
         NodeName leader = awaitLeaderOtherThan(Optional.empty());
         long termBefore = logs.get(leader).term();
         logs.get(leader).handOver();
@@ -103,33 +108,33 @@
     }
 
     private void start(NodeName name) {
-        FaultyFiles faulty = new FaultyFiles();
-        LogStore store = LogStore.open(folder.resolve(name.value()), faulty, name::hashCode);
-        CountingMachine machine = new CountingMachine();
+        FaultyFileOperations fileOperations = new FaultyFileOperations();
+        LogStore store = LogStore.open(folder.resolve(name.value()), fileOperations, name::hashCode);
+        RecordingStateMachine stateMachine = new RecordingStateMachine();
         RaftReplicatedLog log = new RaftReplicatedLog(
                 CoreSettings.configured(name, VOTERS, FAST),
                 store,
                 network.transportOf(name),
-                machine,
+                stateMachine,
                 System::nanoTime,
                 new Random(name.hashCode()),
                 100,
                 failure -> failures.put(name, failure));
-        files.put(name, faulty);
-        machines.put(name, machine);
+        fileOperationsOf.put(name, fileOperations);
+        stateMachines.put(name, stateMachine);
         logs.put(name, log);
         network.join(name, log);
         log.start();
     }
 
-    private NodeName awaitLeaderOtherThan(Optional<NodeName> old) {
-        await("a leader other than " + old, () -> leaderOtherThan(old).isPresent());
-        return leaderOtherThan(old).orElseThrow();
+    private NodeName awaitLeaderOtherThan(Optional<NodeName> excluded) {
+        await("a leader other than " + excluded, () -> leaderOtherThan(excluded).isPresent());
+        return leaderOtherThan(excluded).orElseThrow();
     }
 
-    private Optional<NodeName> leaderOtherThan(Optional<NodeName> old) {
+    private Optional<NodeName> leaderOtherThan(Optional<NodeName> excluded) {
         return logs.entrySet().stream()
-                .filter(entry -> !Optional.of(entry.getKey()).equals(old))
+                .filter(entry -> !Optional.of(entry.getKey()).equals(excluded))
                 .filter(entry -> entry.getValue().leadsWithLease())
                 .map(Map.Entry::getKey)
                 .findFirst();
@@ -144,10 +149,10 @@
         return ((WigeongradeException) failure.getCause()).kind();
     }
 
-    private static void await(String what, BooleanSupplier condition) {
+    private static void await(String description, BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!condition.getAsBoolean()) {
-            assertWithMessage("in time: " + what)
+            assertWithMessage("not in time: " + description)
                     .that(System.nanoTime() - deadlineNanos < 0)
                     .isTrue();
             LockSupport.parkNanos(1_000_000);
--- a/src/test/java/org/wigeongrade/nodes/log/RaftReplicatedLogTest.java
+++ b/src/test/java/org/wigeongrade/nodes/log/RaftReplicatedLogTest.java
@@ -30,7 +30,7 @@
 import org.wigeongrade.errors.WigeongradeException;
 import org.wigeongrade.ids.NodeName;
 
-/** Three replicas in one process over loopback Thrift and real files. */
+/** Tests three replicas in one process, with Thrift over loopback and real files. */
 final class RaftReplicatedLogTest {
     private static final LogTimings FAST = LogTimings.ofMs(20, 150, 300, 120);
     private static final long COMPACT_AFTER_ENTRIES = 20;
@@ -40,7 +40,7 @@
 
     private final Map<NodeName, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Map<NodeName, RaftReplicatedLog> logs = new TreeMap<>();
-    private final Map<NodeName, CountingMachine> machines = new TreeMap<>();
+    private final Map<NodeName, RecordingStateMachine> stateMachines = new TreeMap<>();
 
     @BeforeEach
     void startAll() throws IOException {
@@ -56,14 +56,14 @@
     }
 
     @Test
-    void commitsSurviveALeaderThatStopsAndARestartOfAll() throws Exception {
+    void committedCommandsSurviveALeaderStopAndARestartOfAllReplicas() throws Exception {
         submit("a");
         stop(awaitLeader());
         submit("b");
         addresses.keySet().forEach(this::stop);
         addresses.keySet().forEach(this::start);
         submit("c");
-        awaitAllHold("a", "b", "c");
+        awaitAllApplied("a", "b", "c");
     }
 
     @Test
@@ -73,7 +73,7 @@
                 .filter(name -> !name.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        await("follower knows the leader", () -> logs.get(follower).leader().equals(Optional.of(leader)));
+        await("the follower knows the leader", () -> logs.get(follower).leader().equals(Optional.of(leader)));
         ExecutionException failure = assertThrows(
                 ExecutionException.class,
                 () -> logs.get(follower).submit(bytes("x")).get(5, TimeUnit.SECONDS));
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aLostFolderComesBackAsALearnerAndIsAdmittedAgain() throws Exception {
+    void aReplicaWithALostFolderRejoinsAsALearnerAndBecomesAVoterAgain() throws Exception {
         String[] expected = new String[60];
         for (int i = 0; i < expected.length; i++) {
             expected[i] = "command-" + i;
@@ -91,13 +91,13 @@
         }
         NodeName lost = followerOf(awaitLeader());
         stop(lost);
-        deleteFolder(folder.resolve(lost.value()));
+        deleteFiles(folder.resolve(lost.value()));
         start(lost);
-        awaitAllHold(expected);
-        await("admission of " + lost, () -> logs.get(lost).isVoter());
+        awaitAllApplied(expected);
+        await("admission as a voter of " + lost, () -> logs.get(lost).isVoter());
         NodeName other = followerOf(awaitLeader(), lost);
         stop(other);
-        submit("quorum of the leader and the admitted one");
+        submit("committed by the leader and the readmitted replica");
     }
 
     private void submit(String command) throws Exception {
@@ -133,17 +133,19 @@
                 .orElseThrow();
     }
 
-    private void awaitAllHold(String... commands) {
-        machines.forEach((name, machine) -> {
-            await(name + " holds all", () -> machine.commands().size() >= commands.length);
-            assertThat(machine.commands()).containsExactlyElementsIn(commands).inOrder();
+    private void awaitAllApplied(String... commands) {
+        stateMachines.forEach((name, stateMachine) -> {
+            await(name + " applies all commands", () -> stateMachine.commands().size() >= commands.length);
+            assertThat(stateMachine.commands())
+                    .containsExactlyElementsIn(commands)
+                    .inOrder();
         });
     }
 
     private void start(NodeName name) {
         Map<NodeName, InetSocketAddress> peers = new TreeMap<>(addresses);
         peers.remove(name);
-        CountingMachine machine = new CountingMachine();
+        RecordingStateMachine stateMachine = new RecordingStateMachine();
         LogSettings settings = LogSettings.ofPeers(
                 name,
                 folder.resolve(name.value()),
@@ -151,26 +153,26 @@
                 ImmutableMap.copyOf(peers),
                 FAST,
                 COMPACT_AFTER_ENTRIES);
-        machines.put(name, machine);
-        logs.put(name, RaftReplicatedLog.open(settings, machine, failure -> {}));
+        stateMachines.put(name, stateMachine);
+        logs.put(name, RaftReplicatedLog.open(settings, stateMachine, failure -> {}));
     }
 
     private void stop(NodeName name) {
         Optional.ofNullable(logs.remove(name)).ifPresent(RaftReplicatedLog::close);
     }
 
-    private static void deleteFolder(Path lost) throws IOException {
-        try (var files = Files.list(lost)) {
+    private static void deleteFiles(Path directory) throws IOException {
+        try (var files = Files.list(directory)) {
             for (Path file : files.toList()) {
                 Files.delete(file);
             }
         }
     }
 
-    private static void await(String what, BooleanSupplier condition) {
+    private static void await(String description, BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!condition.getAsBoolean()) {
-            assertWithMessage("in time: " + what)
+            assertWithMessage("not in time: " + description)
                     .that(System.nanoTime() - deadlineNanos < 0)
                     .isTrue();
             LockSupport.parkNanos(1_000_000);
--- a/src/test/java/org/wigeongrade/nodes/log/CountingMachine.java
+++ b/src/test/java/org/wigeongrade/nodes/log/RecordingStateMachine.java
@@ -4,8 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A state machine that remembers its commands in order. Thread safe. */
-final class CountingMachine implements ReplicatedStateMachine {
+/** A state machine that records its commands in order. Thread safe. */
+final class RecordingStateMachine implements ReplicatedStateMachine {
     private final List<String> commands = new ArrayList<>();
 
     @Override
--- a/src/test/java/org/wigeongrade/nodes/log/WireCodecTest.java
+++ b/src/test/java/org/wigeongrade/nodes/log/WireCodecTest.java
@@ -27,7 +27,7 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void everyMessageSurvivesTheWire(LogMessage message) throws TException {
+    void everyMessageIsEqualAfterEncodingAndDecoding(LogMessage message) throws TException {
         byte[] bytes = new TSerializer().serialize(WireCodec.encode(message));
         WireMessage read = new WireMessage();
         new TDeserializer().deserialize(read, bytes);
