--- a/src/main/java/org/wigeongrade/decisions/config/ColdCapacityOverCapacity.java
+++ b/src/main/java/org/wigeongrade/decisions/config/ColdCapacityOverCapacity.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds a cold capacity above the warm one, since a cold endpoint bears less load than a warm one. Stateless. */
+/**
+ * Finds cold capacities above the warm capacity, since a cold endpoint can handle less load than a warm one. Stateless.
+ */
 final class ColdCapacityOverCapacity implements ConfigurationRule {
     @Override
     public String code() {
@@ -36,6 +38,6 @@
                 id,
                 "cold_capacity",
                 id + " has cold_capacity = " + coldCapacity + " above capacity = " + capacity
-                        + "; set cold_capacity to what an endpoint bears in a cold start"));
+                        + "; set cold_capacity to what an endpoint can handle in a cold start"));
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/config/ConfigurationChecker.java
+++ b/src/main/java/org/wigeongrade/decisions/config/ConfigurationChecker.java
@@ -8,7 +8,7 @@
  * Checks a whole declared set by every rule and lists all faults at once. Stateless; safe for use from any thread.
  */
 public final class ConfigurationChecker {
-    /** Faults that {@link #describe} lists. */
+    /** Maximum number of faults that {@link #describe} lists. */
     public static final int MAX_DESCRIBED = 500;
 
     private static final ConfigurationRule REQUIRED_FIELDS = new MissingValue();
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Returns all faults of {@code set}, which would replace {@code current}. With a required field missing only the
-     * missing fields are listed, since the other rules read them.
+     * Returns all faults of {@code set}, which would replace {@code current}. If any required field is missing, only
+     * missing fields are listed, since the other rules read these fields.
      */
     public static List<ConfigurationFault> check(DeclaredSet set, DeclaredSet current) {
         final List<ConfigurationFault> missing = REQUIRED_FIELDS.check(set, current);
@@ -54,7 +54,9 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the faults one to a line; past {@link #MAX_DESCRIBED} of them only their number. */
+    /**
+     * Returns one line for each of the first {@link #MAX_DESCRIBED} faults, and a line with the number of the others.
+     */
     public static String describe(List<ConfigurationFault> faults) {
         final String lines = faults.stream()
                 .limit(MAX_DESCRIBED)
@@ -64,7 +66,7 @@
         return hidden > 0 ? lines + "\nand " + hidden + " more; run 'wigeongrade check' to list all" : lines;
     }
 
-    /** Returns whether any of the faults refuses the set. */
+    /** Returns whether the set is refused because of any of the faults. */
     public static boolean refusesSet(List<ConfigurationFault> faults) {
         return faults.stream().anyMatch(fault -> fault.severity().refusesSet());
     }
--- a/src/main/java/org/wigeongrade/decisions/config/ConfigurationRule.java
+++ b/src/main/java/org/wigeongrade/decisions/config/ConfigurationRule.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * One rule over a whole declared set.
+ * A rule that checks a whole declared set.
  *
- * <p>Invariant: the findings depend on the two sets alone and come in the order of the declared objects.
+ * <p>Invariant: the faults depend only on the two sets and are listed in the order of the declared objects.
  * Implementations are stateless and safe for use from any thread.
  */
 public interface ConfigurationRule {
     /** Returns the reason code in snake_case; docs/RULES.md has a section of that name. */
     String code();
 
-    /** Returns one line that states what the rule finds and why it matters. */
+    /** Returns a one-line summary of what the rule finds and why it matters; docs/RULES.md repeats it. */
     String summary();
 
-    /** Returns the findings in {@code set}, which would replace {@code current}; empty if there are none. */
+    /** Returns the faults of {@code set}, which would replace {@code current}; empty if there are none. */
     List<ConfigurationFault> check(DeclaredSet set, DeclaredSet current);
 }
--- a/src/main/java/org/wigeongrade/decisions/config/DeclaredGroup.java
+++ b/src/main/java/org/wigeongrade/decisions/config/DeclaredGroup.java
@@ -5,11 +5,11 @@
 import org.wigeongrade.ids.GroupName;
 
 /**
- * A group that the declared set asks for: numbered by its pool, or declared by name. {@code zones} are those it may be
- * formed in; empty means any. {@code order} is its place in the pool: the lowest is formed first and dissolved last.
- * Immutable; safe for use from any thread.
+ * A group that the declared set contains: one of the numbered groups of a pool, or declared by name. {@code zones} are
+ * the availability zones in which it may be formed; empty means any. {@code positionInPool} counts from 0; the lowest
+ * is formed first and dissolved last. Immutable; safe for use from any thread.
  */
-public record DeclaredGroup(GroupName name, PoolDeclaration pool, List<AvailabilityZone> zones, int order) {
+public record DeclaredGroup(GroupName name, PoolDeclaration pool, List<AvailabilityZone> zones, int positionInPool) {
     public DeclaredGroup {
         zones = List.copyOf(zones);
     }
--- a/src/main/java/org/wigeongrade/decisions/config/DeclaredGroups.java
+++ b/src/main/java/org/wigeongrade/decisions/config/DeclaredGroups.java
@@ -10,12 +10,15 @@
 import org.wigeongrade.ids.GroupName;
 import org.wigeongrade.ids.PoolName;
 
-/** The groups that a declared set asks for. Stateless; safe for use from any thread. */
+/**
+ * Finds the groups that a declared set contains: those declared by name and the numbered ones of each pool. Stateless;
+ * safe for use from any thread.
+ */
 public final class DeclaredGroups {
     private DeclaredGroups() {}
 
     /** Returns the name of a pool's numbered group; {@code number} counts from 1. */
-    public static GroupName numbered(PoolName pool, int number) {
+    public static GroupName numberedGroupName(PoolName pool, int number) {
         return GroupName.of(pool.value() + "/" + number);
     }
 
@@ -25,7 +28,7 @@
     }
 
     /** Returns the groups of a pool: those declared by name first, then the numbered ones. */
-    public static List<DeclaredGroup> of(DeclaredSet set, PoolDeclaration pool) {
+    public static List<DeclaredGroup> ofPool(DeclaredSet set, PoolDeclaration pool) {
         final List<DeclaredGroup> groups = new ArrayList<>();
         for (final GroupDeclaration group : set.groups()) {
             if (group.pool().equals(pool.name())) {
@@ -34,15 +37,15 @@
         }
         final List<AvailabilityZone> zones = zonesOf(set, pool);
         for (int number = 1; number <= pool.replicas(); number++) {
-            groups.add(new DeclaredGroup(numbered(pool.name(), number), pool, zones, groups.size()));
+            groups.add(new DeclaredGroup(numberedGroupName(pool.name(), number), pool, zones, groups.size()));
         }
         return groups;
     }
 
-    /** Returns the names of all groups that the set asks for. */
+    /** Returns the names of all groups that the set contains. */
     public static Set<GroupName> names(DeclaredSet set) {
         return set.pools().stream()
-                .flatMap(pool -> of(set, pool).stream())
+                .flatMap(pool -> ofPool(set, pool).stream())
                 .map(DeclaredGroup::name)
                 .collect(ImmutableSet.toImmutableSet());
     }
@@ -50,7 +53,7 @@
     /** Returns the declared group of that name in the pool, if there is one. */
     public static Optional<DeclaredGroup> find(DeclaredSet set, PoolName pool, GroupName name) {
         return pool(set, pool).stream()
-                .flatMap(declared -> of(set, declared).stream())
+                .flatMap(declared -> ofPool(set, declared).stream())
                 .filter(group -> group.name().equals(name))
                 .findFirst();
     }
--- a/src/main/java/org/wigeongrade/decisions/config/DeclaredObjects.java
+++ b/src/main/java/org/wigeongrade/decisions/config/DeclaredObjects.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Views of a declared set by object id. Stateless; safe for use from any thread. */
+/** Lists and compares the objects of declared sets by their ids. Stateless; safe for use from any thread. */
 public final class DeclaredObjects {
     private DeclaredObjects() {}
 
@@ -23,15 +23,15 @@
 
     /** Returns the ids of the objects that were added, removed or changed between two sets, sorted. */
     public static List<ObjectId> changed(DeclaredSet before, DeclaredSet after) {
-        final Map<ObjectId, Record> old = byId(before);
-        final Map<ObjectId, Record> replaced = byId(after);
+        final Map<ObjectId, Record> oldObjects = byId(before);
+        final Map<ObjectId, Record> newObjects = byId(after);
         final List<ObjectId> changed = new ArrayList<>();
-        replaced.forEach((id, object) -> {
-            if (!object.equals(old.get(id))) {
+        newObjects.forEach((id, object) -> {
+            if (!object.equals(oldObjects.get(id))) {
                 changed.add(id);
             }
         });
-        old.keySet().stream().filter(id -> !replaced.containsKey(id)).forEach(changed::add);
+        oldObjects.keySet().stream().filter(id -> !newObjects.containsKey(id)).forEach(changed::add);
         changed.sort(null);
         return changed;
     }
--- a/src/main/java/org/wigeongrade/decisions/config/DeclaredSet.java
+++ b/src/main/java/org/wigeongrade/decisions/config/DeclaredSet.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * The whole set of objects that operators declare; it is checked and published as one.
+ * All objects that operators declare; the set is checked and published as a whole.
  *
  * <p>Invariant: lists are never null and never change. Immutable; safe for use from any thread.
  */
@@ -28,7 +28,10 @@
         organisations = copyOf(organisations);
     }
 
-    /** Returns the longest time that a call of any declared service may run, in milliseconds; 0 without services. */
+    /**
+     * Returns the longest time that a call to any declared service may run, in milliseconds; 0 if there are no
+     * services.
+     */
     public long longestServiceRunMs() {
         return services.stream()
                 .mapToLong(ServiceDeclaration::longestRunMs)
--- a/src/main/java/org/wigeongrade/decisions/config/DuplicateName.java
+++ b/src/main/java/org/wigeongrade/decisions/config/DuplicateName.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Finds two objects of one kind with the same name, since references to the name would be ambiguous. Stateless. */
+/** Finds objects of the same kind with the same name, since references to the name would be ambiguous. Stateless. */
 final class DuplicateName implements ConfigurationRule {
     @Override
     public String code() {
--- a/src/main/java/org/wigeongrade/decisions/config/GroupNameTaken.java
+++ b/src/main/java/org/wigeongrade/decisions/config/GroupNameTaken.java
@@ -4,7 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds declared groups named like a numbered group of a pool, since two groups would share a name. Stateless. */
+/**
+ * Finds groups declared under the name of a numbered group of a pool, since two groups would share the name. Stateless.
+ */
 final class GroupNameTaken implements ConfigurationRule {
     @Override
     public String code() {
--- a/src/main/java/org/wigeongrade/decisions/config/GroupZoneNotInPool.java
+++ b/src/main/java/org/wigeongrade/decisions/config/GroupZoneNotInPool.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds groups pinned to an availability zone that their pool does not list, since they would never be formed. Stateless. */
+/**
+ * Finds groups pinned to an availability zone that their pool does not list, since they would never be formed.
+ * Stateless.
+ */
 final class GroupZoneNotInPool implements ConfigurationRule {
     @Override
     public String code() {
--- a/src/main/java/org/wigeongrade/decisions/config/KeyDigestMalformed.java
+++ b/src/main/java/org/wigeongrade/decisions/config/KeyDigestMalformed.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Finds key digests that no key can match, since their callers would all be refused. Stateless. */
+/** Finds malformed key digests, since no key matches them and all callers with the key would be refused. Stateless. */
 final class KeyDigestMalformed implements ConfigurationRule {
     private static final Pattern SHA_256_HEX = Pattern.compile("[0-9a-f]{64}");
 
--- a/src/main/java/org/wigeongrade/decisions/config/KeySharedByOrganisations.java
+++ b/src/main/java/org/wigeongrade/decisions/config/KeySharedByOrganisations.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Finds a key of two organisations, since a caller's organisation and limits would be ambiguous. Stateless. */
+/** Finds keys shared by two organisations, since a caller's organisation and limits would be ambiguous. Stateless. */
 final class KeySharedByOrganisations implements ConfigurationRule {
     @Override
     public String code() {
--- a/src/main/java/org/wigeongrade/decisions/config/MethodMalformed.java
+++ b/src/main/java/org/wigeongrade/decisions/config/MethodMalformed.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds methods that no HTTP request carries, since a misspelt one would have no effect. Stateless. */
+/** Finds idempotent methods that are not upper-case HTTP methods, since they would match no call. Stateless. */
 final class MethodMalformed implements ConfigurationRule {
     private static final ImmutableList<String> METHODS =
             ImmutableList.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH");
--- a/src/main/java/org/wigeongrade/decisions/config/MissingValue.java
+++ b/src/main/java/org/wigeongrade/decisions/config/MissingValue.java
@@ -19,33 +19,33 @@
     public List<ConfigurationFault> check(DeclaredSet set, DeclaredSet current) {
         final List<ConfigurationFault> faults = new ArrayList<>();
         for (final ZoneDeclaration zone : set.zones()) {
-            require(ObjectKind.AVAILABILITY_ZONE, zone.name(), "name", zone.name(), faults);
+            requireValue(ObjectKind.AVAILABILITY_ZONE, zone.name(), "name", zone.name(), faults);
         }
         for (final ModelVersionDeclaration version : set.modelVersions()) {
-            require(ObjectKind.MODEL_VERSION, version.name(), "name", version.name(), faults);
-            require(ObjectKind.MODEL_VERSION, version.name(), "model", version.model(), faults);
-            require(ObjectKind.MODEL_VERSION, version.name(), "weights", version.weights(), faults);
+            requireValue(ObjectKind.MODEL_VERSION, version.name(), "name", version.name(), faults);
+            requireValue(ObjectKind.MODEL_VERSION, version.name(), "model", version.model(), faults);
+            requireValue(ObjectKind.MODEL_VERSION, version.name(), "weights", version.weights(), faults);
         }
         for (final PoolDeclaration pool : set.pools()) {
-            require(ObjectKind.POOL, pool.name(), "name", pool.name(), faults);
-            require(ObjectKind.POOL, pool.name(), "model_version", pool.modelVersion(), faults);
-            require(ObjectKind.POOL, pool.name(), "weighs", pool.weighs(), faults);
+            requireValue(ObjectKind.POOL, pool.name(), "name", pool.name(), faults);
+            requireValue(ObjectKind.POOL, pool.name(), "model_version", pool.modelVersion(), faults);
+            requireValue(ObjectKind.POOL, pool.name(), "weighs", pool.weighs(), faults);
         }
         for (final GroupDeclaration group : set.groups()) {
-            require(ObjectKind.GROUP, group.name(), "name", group.name(), faults);
-            require(ObjectKind.GROUP, group.name(), "pool", group.pool(), faults);
-            require(ObjectKind.GROUP, group.name(), "availability_zone", group.zone(), faults);
+            requireValue(ObjectKind.GROUP, group.name(), "name", group.name(), faults);
+            requireValue(ObjectKind.GROUP, group.name(), "pool", group.pool(), faults);
+            requireValue(ObjectKind.GROUP, group.name(), "availability_zone", group.zone(), faults);
         }
         for (final ServiceDeclaration service : set.services()) {
-            require(ObjectKind.SERVICE, service.name(), "name", service.name(), faults);
+            requireValue(ObjectKind.SERVICE, service.name(), "name", service.name(), faults);
         }
         for (final OrganisationDeclaration organisation : set.organisations()) {
-            require(ObjectKind.ORGANISATION, organisation.name(), "name", organisation.name(), faults);
+            requireValue(ObjectKind.ORGANISATION, organisation.name(), "name", organisation.name(), faults);
         }
         return faults;
     }
 
-    private void require(ObjectKind kind, Object name, String field, Object value, List<ConfigurationFault> faults) {
+    private void requireValue(ObjectKind kind, Object name, String field, Object value, List<ConfigurationFault> faults) {
         if (value != null) {
             return;
         }
--- a/src/main/java/org/wigeongrade/decisions/config/ModelVersionRedefined.java
+++ b/src/main/java/org/wigeongrade/decisions/config/ModelVersionRedefined.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds model versions whose model or weights change under the same name, since running groups would keep the old ones. Stateless. */
+/**
+ * Finds model versions whose model or weights change under the same name, since running groups would keep the old ones.
+ * Stateless.
+ */
 final class ModelVersionRedefined implements ConfigurationRule {
     @Override
     public String code() {
--- a/src/main/java/org/wigeongrade/decisions/config/ModelWithTwoVersions.java
+++ b/src/main/java/org/wigeongrade/decisions/config/ModelWithTwoVersions.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds models that pools serve in two versions, since callers who ask for the model may get either. Stateless. */
+/**
+ * Finds models that pools serve in more than one version, since a caller of the model may get any of them. Stateless.
+ */
 final class ModelWithTwoVersions implements ConfigurationRule {
     @Override
     public String code() {
--- a/src/main/java/org/wigeongrade/decisions/config/ObjectId.java
+++ b/src/main/java/org/wigeongrade/decisions/config/ObjectId.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 
 /**
- * Identifies an object that operators can ask about by its kind and name. Immutable; safe for use from any thread.
+ * Identifies an object that operators can query, by its kind and name. Immutable; safe for use from any thread.
  */
 public record ObjectId(ObjectKind kind, String name) implements Comparable<ObjectId> {
     private static final Comparator<ObjectId> ORDER =
--- a/src/main/java/org/wigeongrade/decisions/config/ObjectKind.java
+++ b/src/main/java/org/wigeongrade/decisions/config/ObjectKind.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Kinds of object that operators can ask about. Immutable; safe for use from any thread. */
+/** Kinds of objects that operators can query. Immutable; safe for use from any thread. */
 public enum ObjectKind {
     CONFIGURATION,
     AVAILABILITY_ZONE,
@@ -15,7 +15,7 @@
     VM,
     REQUEST;
 
-    /** Returns the kind as it stands in declared files and messages, for example {@code model_version}. */
+    /** Returns the kind as it is written in declared files and messages, for example {@code model_version}. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/wigeongrade/decisions/config/OrganisationWithoutKey.java
+++ b/src/main/java/org/wigeongrade/decisions/config/OrganisationWithoutKey.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Finds organisations without a key, since none of their callers could be recognised. Stateless. */
+/** Finds organisations without a key, since none of their callers could be authenticated. Stateless. */
 final class OrganisationWithoutKey implements ConfigurationRule {
     @Override
     public String code() {
--- a/src/main/java/org/wigeongrade/decisions/config/PlacementWeight.java
+++ b/src/main/java/org/wigeongrade/decisions/config/PlacementWeight.java
@@ -4,28 +4,28 @@
 import java.util.Comparator;
 import java.util.Locale;
 
-/** What a pool's placement weighs most. Immutable; safe for use from any thread. */
+/** What the placement of a pool's groups optimises for. Immutable; safe for use from any thread. */
 public enum PlacementWeight {
-    /** Keeps warm spare VMs so that a broken group is whole again soon. */
+    /** Minimises the downtime of groups: warm spare VMs are kept free so that lost members are replaced soon. */
     GROUP_DOWNTIME,
-    /** Packs VMs into groups so that few accelerators are held without serving. */
+    /** Minimises the accelerators that do not serve: VMs are packed into groups and no spares are kept. */
     STRANDED_ACCELERATORS;
 
-    /** Reads the weight as it stands in declared files; throws {@link IllegalArgumentException} if there is none. */
+    /** Parses the label used in declared files; throws {@link IllegalArgumentException} if it is unknown. */
     public static PlacementWeight of(String label) {
         return Arrays.stream(values())
-                .filter(weight -> weight.label().equals(label))
+                .filter(objective -> objective.label().equals(label))
                 .findFirst()
                 .orElseThrow(() -> new IllegalArgumentException(
-                        "'" + label + "' is not a weight; use \"group_downtime\" or \"stranded_accelerators\""));
+                        "'" + label + "' is not a value of weighs; use \"group_downtime\" or \"stranded_accelerators\""));
     }
 
-    /** Returns the weight as it stands in declared files. */
+    /** Returns the label used in declared files. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the number of VMs to keep out of groups in each availability zone, given the declared number. */
+    /** Returns the number of spare VMs to keep free in each availability zone, given the declared number. */
     public int sparesToKeep(int declaredSpares) {
         return switch (this) {
             case GROUP_DOWNTIME -> declaredSpares;
@@ -34,10 +34,11 @@
     }
 
     /**
-     * Returns the order in which fabric domains are preferred for a new group, by the free VMs left over in them: the
-     * most left over keeps spares beside each group, the fewest keeps whole domains free for other groups.
+     * Returns the order in which fabric domains are preferred for a new group, by their number of free VMs. Preferring
+     * the most leaves spares in the domain of each group; preferring the fewest leaves whole domains free for other
+     * groups.
      */
-    public Comparator<Integer> leftOverOrder() {
+    public Comparator<Integer> leftoverVmsOrder() {
         return switch (this) {
             case GROUP_DOWNTIME -> Comparator.reverseOrder();
             case STRANDED_ACCELERATORS -> Comparator.naturalOrder();
--- a/src/main/java/org/wigeongrade/decisions/config/PoolDeclaration.java
+++ b/src/main/java/org/wigeongrade/decisions/config/PoolDeclaration.java
@@ -8,11 +8,12 @@
 /**
  * Declares a pool of replicas of one model version.
  *
- * <p>{@code replicas} groups named {@code <pool>/<number>} are formed and spread over {@code zones}; groups declared by
- * name come on top. {@code capacity} and {@code coldCapacity} are requests in flight for each replica.
- * {@code warmSpares} VMs for each availability zone are kept out of groups for repairs. {@code longestRunMs} is the
- * longest time that one request may run. {@code maxLoads} bounds the replicas that read the weight store at once.
- * Immutable; safe for use from any thread.
+ * <p>{@code replicas} groups named {@code <pool>/<number>} are formed and spread over {@code zones}, in addition to
+ * groups declared by name. {@code capacity} and {@code coldCapacity} are the maximum requests in flight for each
+ * replica, when warm and during a cold start. {@code weighs} is what placement optimises for. {@code warmSpares} VMs in
+ * each availability zone are kept out of groups to replace lost members. {@code fencingChecked} is whether the
+ * endpoints check fencing tokens. {@code longestRunMs} is the longest time that one request may run. {@code maxLoads}
+ * is the maximum number of replicas that read the weight store at once. Immutable; safe for use from any thread.
  */
 public record PoolDeclaration(
         PoolName name,
--- a/src/main/java/org/wigeongrade/decisions/config/PoolWithoutZone.java
+++ b/src/main/java/org/wigeongrade/decisions/config/PoolWithoutZone.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 
-/** Finds pools in a set that declares no availability zone, since their groups could not be formed anywhere. Stateless. */
+/**
+ * Finds pools in a set that declares no availability zone, since their groups could not be formed anywhere. Stateless.
+ */
 final class PoolWithoutZone implements ConfigurationRule {
     @Override
     public String code() {
--- a/src/main/java/org/wigeongrade/decisions/config/ServiceDeclaration.java
+++ b/src/main/java/org/wigeongrade/decisions/config/ServiceDeclaration.java
@@ -6,7 +6,7 @@
 
 /**
  * Declares a plain service. Callers reach it under {@code /services/<name>/}. {@code idempotentMethods} are the HTTP
- * methods whose calls may be repeated; every other call is sent once at most. {@code longestRunMs} is the longest time
+ * methods whose calls may be repeated; every other call is sent at most once. {@code longestRunMs} is the longest time
  * that one call may run. Immutable; safe for use from any thread.
  */
 public record ServiceDeclaration(
--- a/src/main/java/org/wigeongrade/decisions/config/UnknownReference.java
+++ b/src/main/java/org/wigeongrade/decisions/config/UnknownReference.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.wigeongrade.ids.AvailabilityZone;
 
-/** Finds a reference to an object that the set does not declare, since nothing could serve it. Stateless. */
+/** Finds references to objects that the set does not declare, since they could never be resolved. Stateless. */
 final class UnknownReference implements ConfigurationRule {
     @Override
     public String code() {
@@ -24,29 +24,29 @@
         final List<ConfigurationFault> faults = new ArrayList<>();
         for (final PoolDeclaration pool : set.pools()) {
             final ObjectId id = ObjectId.of(ObjectKind.POOL, pool.name());
-            require(declared, id, "model_version", ObjectId.of(ObjectKind.MODEL_VERSION, pool.modelVersion()), faults);
-            requireZones(declared, id, pool.zones(), faults);
+            requireDeclared(declared, id, "model_version", ObjectId.of(ObjectKind.MODEL_VERSION, pool.modelVersion()), faults);
+            requireZonesDeclared(declared, id, pool.zones(), faults);
         }
         for (final GroupDeclaration group : set.groups()) {
             final ObjectId id = ObjectId.of(ObjectKind.GROUP, group.name());
-            require(declared, id, "pool", ObjectId.of(ObjectKind.POOL, group.pool()), faults);
-            requireZones(declared, id, List.of(group.zone()), faults);
+            requireDeclared(declared, id, "pool", ObjectId.of(ObjectKind.POOL, group.pool()), faults);
+            requireZonesDeclared(declared, id, List.of(group.zone()), faults);
         }
         for (final ServiceDeclaration service : set.services()) {
-            requireZones(declared, ObjectId.of(ObjectKind.SERVICE, service.name()), service.zones(), faults);
+            requireZonesDeclared(declared, ObjectId.of(ObjectKind.SERVICE, service.name()), service.zones(), faults);
         }
         return faults;
     }
 
-    private void requireZones(
+    private void requireZonesDeclared(
             Set<ObjectId> declared, ObjectId owner, List<AvailabilityZone> zones, List<ConfigurationFault> faults) {
         final String field = owner.kind() == ObjectKind.GROUP ? "availability_zone" : "availability_zones";
         for (final AvailabilityZone zone : zones) {
-            require(declared, owner, field, ObjectId.of(ObjectKind.AVAILABILITY_ZONE, zone), faults);
+            requireDeclared(declared, owner, field, ObjectId.of(ObjectKind.AVAILABILITY_ZONE, zone), faults);
         }
     }
 
-    private void require(
+    private void requireDeclared(
             Set<ObjectId> declared, ObjectId owner, String field, ObjectId target, List<ConfigurationFault> faults) {
         if (declared.contains(target)) {
             return;
@@ -55,6 +55,6 @@
                 code(),
                 owner,
                 field,
-                owner + " refers to " + target + ", which is not declared; declare it or name another"));
+                owner + " refers to " + target + ", which is not declared; declare it or refer to another"));
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/config/WarmSparesWithoutEffect.java
+++ b/src/main/java/org/wigeongrade/decisions/config/WarmSparesWithoutEffect.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Finds warm spares of a pool that weighs stranded accelerators, since none are kept for it. Stateless. */
+/**
+ * Finds pools that declare warm spares although they weigh stranded accelerators, since no spares are kept for them.
+ * Stateless.
+ */
 final class WarmSparesWithoutEffect implements ConfigurationRule {
     @Override
     public String code() {
@@ -22,12 +25,12 @@
                 .toList();
     }
 
-    private ConfigurationFault fault(ObjectId id, PlacementWeight weighs) {
+    private ConfigurationFault fault(ObjectId id, PlacementWeight objective) {
         return ConfigurationFault.warning(
                 code(),
                 id,
                 "warm_spares",
-                id + " weighs " + weighs.label()
+                id + " weighs " + objective.label()
                         + ", so its warm_spares are not kept; set warm_spares = 0 or weighs = \""
                         + PlacementWeight.GROUP_DOWNTIME.label() + "\"");
     }
--- a/src/main/java/org/wigeongrade/decisions/config/ZoneDeclaration.java
+++ b/src/main/java/org/wigeongrade/decisions/config/ZoneDeclaration.java
@@ -2,5 +2,5 @@
 
 import org.wigeongrade.ids.AvailabilityZone;
 
-/** Declares an availability zone and the region it lies in. Immutable; safe for use from any thread. */
+/** Declares an availability zone and its region. Immutable; safe for use from any thread. */
 public record ZoneDeclaration(AvailabilityZone name, String region) {}
--- a/src/main/java/org/wigeongrade/decisions/config/package-info.java
+++ b/src/main/java/org/wigeongrade/decisions/config/package-info.java
@@ -1,2 +1,2 @@
-/** Declared objects, the rules that check a whole set, and the configuration revisions. */
+/** Objects that operators declare, and the rules that check a whole declared set. */
 package org.wigeongrade.decisions.config;
--- a/src/main/java/org/wigeongrade/decisions/placement/DissolvePlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/DissolvePlanner.java
@@ -11,10 +11,10 @@
 import org.wigeongrade.ids.PoolName;
 
 /**
- * Dissolves the groups that a rule finds.
+ * Plans the dissolution of every group to which a {@link DissolveRule} applies.
  *
- * <p>Invariant: a group that still serves is replaced only while no other group of its pool is loading or being formed,
- * and one for each pool at a time. Stateless; safe for use from any thread.
+ * <p>Invariant: a group that still serves is dissolved for replacement only while no other group of its pool is loading
+ * or being formed, and at most one such group of each pool at a time. Stateless; safe for use from any thread.
  */
 final class DissolvePlanner {
     private static final ImmutableList<DissolveRule> RULES = ImmutableList.of(
@@ -27,18 +27,18 @@
 
     private DissolvePlanner() {}
 
-    /** Returns what to dissolve; {@code forming} are the pools in which this plan forms groups. */
-    static List<PlacementAction> plan(PlacementView view, Set<PoolName> forming, TokenSource tokens) {
+    /** Returns the groups to dissolve; {@code formingPools} are the pools in which the same plan forms groups. */
+    static List<PlacementAction> plan(PlacementView view, Set<PoolName> formingPools, FencingTokenIssuer tokens) {
         final List<PlacementAction> actions = new ArrayList<>();
-        final Set<PoolName> busy = new HashSet<>(forming);
-        view.input().groups().stream().filter(group -> !view.isLoaded(group)).forEach(group -> busy.add(group.pool()));
+        final Set<PoolName> changingPools = new HashSet<>(formingPools);
+        view.input().groups().stream().filter(group -> !view.isLoaded(group)).forEach(group -> changingPools.add(group.pool()));
         for (final FormedGroup group : view.input().groups()) {
             final Optional<Finding> finding = firstFinding(group, view);
             if (finding.isEmpty()) {
                 continue;
             }
             final DissolveRule rule = finding.get().rule();
-            if (rule.replacesServingGroup() && view.isLoaded(group) && !busy.add(group.pool())) {
+            if (rule.replacesServingGroup() && view.isLoaded(group) && !changingPools.add(group.pool())) {
                 continue;
             }
             actions.add(dissolve(group, finding.get(), view, tokens));
@@ -53,7 +53,7 @@
     }
 
     private static PlacementAction dissolve(
-            FormedGroup group, Finding finding, PlacementView view, TokenSource tokens) {
+            FormedGroup group, Finding finding, PlacementView view, FencingTokenIssuer tokens) {
         final PlacementReason reason = finding.rule().reason();
         final Command.DissolveGroup command = new Command.DissolveGroup(
                 group.group(),
--- a/src/main/java/org/wigeongrade/decisions/placement/DissolveRule.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/DissolveRule.java
@@ -3,14 +3,17 @@
 import java.util.Optional;
 import org.wigeongrade.decisions.control.FormedGroup;
 
-/** One rule that dissolves groups. Implementations are stateless and safe for use from any thread. */
+/**
+ * A rule that determines whether a group has to be dissolved. Implementations are stateless and safe for use from any
+ * thread.
+ */
 interface DissolveRule {
     /** Returns the reason code. */
     PlacementReason reason();
 
-    /** Returns whether the group still serves when the rule finds it, so that groups are replaced one at a time. */
+    /** Returns whether the rule applies to groups that still serve; these are replaced one at a time in each pool. */
     boolean replacesServingGroup();
 
-    /** Returns what speaks against the group, as a detail for operators; empty if the rule finds nothing. */
+    /** Returns a detail for operators if the group has to be dissolved; empty if the rule does not apply. */
     Optional<String> find(FormedGroup group, PlacementView view);
 }
--- a/src/main/java/org/wigeongrade/decisions/placement/DomainChoice.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/DomainChoice.java
@@ -1,10 +1,13 @@
 package org.wigeongrade.decisions.placement;
 
-/** Where a group is to be formed, or why it cannot be formed now. Immutable; safe for use from any thread. */
+/**
+ * The fabric domain in which to form a group, or the reason why none can be used now. Immutable; safe for use from any
+ * thread.
+ */
 sealed interface DomainChoice {
-    /** Form the group of free VMs of this domain. */
+    /** The group is formed from free VMs of this domain. */
     record Chosen(DomainKey domain) implements DomainChoice {}
 
-    /** Form it later. */
-    record None(PlacementReason reason) implements DomainChoice {}
+    /** The group stays unformed in this plan. */
+    record NoDomain(PlacementReason reason) implements DomainChoice {}
 }
--- a/src/main/java/org/wigeongrade/decisions/placement/DomainChooser.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/DomainChooser.java
@@ -10,10 +10,13 @@
 import org.wigeongrade.ids.AvailabilityZone;
 
 /**
- * Chooses the fabric domain for each new group of one pool: first a domain in which no VM has to load, then the domain
- * with most VMs that still announce the group, then the availability zone with the fewest groups of the pool, then the domain that suits the pool's weight.
+ * Chooses the fabric domain for each new group of one pool.
  *
- * <p>Not thread safe; made for one pool in one plan.
+ * <p>Domains are preferred in this order: those with enough free VMs that already hold the model version, so that none
+ * has to load it; those with the most free VMs that still announce the group; those in the availability zone with the
+ * fewest groups of the pool; those that suit what the pool {@code weighs}; and last by zone and domain name.
+ *
+ * <p>Not thread safe; each instance serves one pool in one plan.
  */
 final class DomainChooser {
     private final PlacementView view;
@@ -25,30 +28,31 @@
         this.view = view;
         this.free = free;
         this.pool = pool;
-        view.formedOf(pool.name()).forEach(group -> groupsInZone.add(group.zone()));
+        view.formedGroupsOf(pool.name()).forEach(group -> groupsInZone.add(group.zone()));
     }
 
-    /** Counts a group as formed in the zone for the choices that follow. */
-    void formedIn(AvailabilityZone zone) {
+    /** Records that this plan forms a group in the zone; later choices take it into account. */
+    void recordFormedGroup(AvailabilityZone zone) {
         groupsInZone.add(zone);
     }
 
+    /** Returns the preferred domain for the group, or the reason why none can be used now. */
     DomainChoice choose(DeclaredGroup group) {
-        final List<DomainKey> inZones = domainsInService(group);
-        if (inZones.isEmpty() && noZoneInService(group)) {
-            return new DomainChoice.None(PlacementReason.ZONES_OUT);
+        final List<DomainKey> candidates = domainsInService(group);
+        if (candidates.isEmpty() && noZoneInService(group)) {
+            return new DomainChoice.NoDomain(PlacementReason.ZONES_OUT);
         }
-        final List<DomainKey> roomy = inZones.stream()
-                .filter(domain -> free.in(domain) >= pool.vmsPerReplica())
+        final List<DomainKey> largeEnough = candidates.stream()
+                .filter(domain -> free.count(domain) >= pool.vmsPerReplica())
                 .collect(ImmutableList.toImmutableList());
-        if (roomy.isEmpty()) {
-            return new DomainChoice.None(PlacementReason.NO_DOMAIN_WITH_ENOUGH_VMS);
+        if (largeEnough.isEmpty()) {
+            return new DomainChoice.NoDomain(PlacementReason.NO_DOMAIN_WITH_ENOUGH_VMS);
         }
-        return roomy.stream()
-                .filter(domain -> mayUseSpares(group) || leavesSpares(domain))
+        return largeEnough.stream()
+                .filter(domain -> mayUseSpares(group) || leavesEnoughSpares(domain))
                 .min(preference(group))
                 .<DomainChoice>map(DomainChoice.Chosen::new)
-                .orElse(new DomainChoice.None(PlacementReason.SPARES_KEPT));
+                .orElse(new DomainChoice.NoDomain(PlacementReason.SPARES_KEPT));
     }
 
     private List<DomainKey> domainsInService(DeclaredGroup group) {
@@ -65,8 +69,8 @@
         return view.wasDissolved(group.name());
     }
 
-    private boolean leavesSpares(DomainKey domain) {
-        return free.in(domain.zone()) - pool.vmsPerReplica() >= sparesToKeep(domain.zone());
+    private boolean leavesEnoughSpares(DomainKey domain) {
+        return free.count(domain.zone()) - pool.vmsPerReplica() >= sparesToKeep(domain.zone());
     }
 
     private int sparesToKeep(AvailabilityZone zone) {
@@ -76,15 +80,15 @@
                 .sum();
     }
 
-    private boolean needsLoad(DomainKey domain) {
-        return free.holding(domain, pool.modelVersion()) < pool.vmsPerReplica();
+    private boolean requiresModelLoad(DomainKey domain) {
+        return free.countHolding(domain, pool.modelVersion()) < pool.vmsPerReplica();
     }
 
     private Comparator<DomainKey> preference(DeclaredGroup group) {
-        return Comparator.comparing((DomainKey domain) -> needsLoad(domain))
-                .thenComparing(domain -> -free.survivors(domain, group.name()))
+        return Comparator.comparing((DomainKey domain) -> requiresModelLoad(domain))
+                .thenComparing(domain -> -free.countAnnouncing(domain, group.name()))
                 .thenComparing(domain -> groupsInZone.count(domain.zone()))
-                .thenComparing(free::in, pool.weighs().leftOverOrder())
+                .thenComparing(free::count, pool.weighs().leftoverVmsOrder())
                 .thenComparing(Comparator.naturalOrder());
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/placement/DomainKey.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/DomainKey.java
@@ -5,13 +5,16 @@
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.ids.FabricDomain;
 
-/** A fabric domain within its availability zone. Immutable; safe for use from any thread. */
+/**
+ * Identifies a fabric domain within its availability zone; sorted by zone, then domain. Immutable; safe for use from
+ * any thread.
+ */
 record DomainKey(AvailabilityZone zone, FabricDomain domain) implements Comparable<DomainKey> {
     private static final Comparator<DomainKey> ORDER =
             Comparator.comparing(DomainKey::zone).thenComparing(DomainKey::domain);
 
-    static DomainKey of(Announcement said) {
-        return new DomainKey(said.zone(), said.fabricDomain());
+    static DomainKey of(Announcement announcement) {
+        return new DomainKey(announcement.zone(), announcement.fabricDomain());
     }
 
     @Override
--- a/src/main/java/org/wigeongrade/decisions/placement/FormationPlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/FormationPlanner.java
@@ -10,58 +10,62 @@
 import org.wigeongrade.decisions.membership.Announcement;
 
 /**
- * Forms the declared groups that are not formed, as far as VMs and the pool's {@code max_loads} allow.
+ * Plans the formation of declared groups that are not formed yet, as far as free VMs and each pool's {@code max_loads}
+ * allow, and holds the others.
  *
  * <p>Stateless; safe for use from any thread.
  */
 final class FormationPlanner {
     private FormationPlanner() {}
 
-    static List<PlacementAction> plan(PlacementView view, TokenSource tokens) {
-        final FreeVms free = new FreeVms(view.free());
+    static List<PlacementAction> plan(PlacementView view, FencingTokenIssuer tokens) {
+        final FreeVms free = new FreeVms(view.freeVms());
         final List<PlacementAction> actions = new ArrayList<>();
         view.pools().forEach(pool -> planPool(view, pool, free, tokens, actions));
         return actions;
     }
 
     private static void planPool(
-            PlacementView view, PoolDeclaration pool, FreeVms free, TokenSource tokens, List<PlacementAction> actions) {
+            PlacementView view, PoolDeclaration pool, FreeVms free, FencingTokenIssuer tokens, List<PlacementAction> actions) {
         final DomainChooser chooser = new DomainChooser(view, free, pool);
-        long loadsLeft = pool.maxLoads() - loading(view, pool);
-        for (final DeclaredGroup group : wanted(view, pool)) {
-            if (loadsLeft <= 0) {
+        long remainingLoads = pool.maxLoads() - countLoading(view, pool);
+        for (final DeclaredGroup group : groupsToForm(view, pool)) {
+            if (remainingLoads <= 0) {
                 actions.add(new PlacementAction.Hold(group.name(), PlacementReason.LOADS_BOUND));
                 continue;
             }
             final DomainChoice choice = chooser.choose(group);
-            if (choice instanceof DomainChoice.None none) {
-                actions.add(new PlacementAction.Hold(group.name(), none.reason()));
+            if (choice instanceof DomainChoice.NoDomain noDomain) {
+                actions.add(new PlacementAction.Hold(group.name(), noDomain.reason()));
                 continue;
             }
             final DomainKey domain = ((DomainChoice.Chosen) choice).domain();
-            actions.add(form(view, group, domain, free, tokens));
-            chooser.formedIn(domain.zone());
-            loadsLeft--;
+            actions.add(formGroup(view, group, domain, free, tokens));
+            chooser.recordFormedGroup(domain.zone());
+            remainingLoads--;
         }
     }
 
-    private static long loading(PlacementView view, PoolDeclaration pool) {
-        return view.formedOf(pool.name()).stream()
+    private static long countLoading(PlacementView view, PoolDeclaration pool) {
+        return view.formedGroupsOf(pool.name()).stream()
                 .filter(group -> !view.isLoaded(group))
                 .count();
     }
 
-    /** Returns the groups to form; those that were dissolved come first, since their members may still hold them. */
-    private static List<DeclaredGroup> wanted(PlacementView view, PoolDeclaration pool) {
-        return view.declaredOf(pool.name()).stream()
+    /**
+     * Returns the declared groups that are not formed. Those that were dissolved come first, since their former members
+     * may still hold the model.
+     */
+    private static List<DeclaredGroup> groupsToForm(PlacementView view, PoolDeclaration pool) {
+        return view.declaredGroupsOf(pool.name()).stream()
                 .filter(group -> !view.isFormed(group.name()))
                 .sorted(Comparator.comparing((DeclaredGroup group) -> !view.wasDissolved(group.name()))
-                        .thenComparing(DeclaredGroup::order))
+                        .thenComparing(DeclaredGroup::positionInPool))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private static PlacementAction form(
-            PlacementView view, DeclaredGroup group, DomainKey domain, FreeVms free, TokenSource tokens) {
+    private static PlacementAction formGroup(
+            PlacementView view, DeclaredGroup group, DomainKey domain, FreeVms free, FencingTokenIssuer tokens) {
         final PoolDeclaration pool = group.pool();
         final List<Announcement> members = free.take(domain, pool.vmsPerReplica(), group.name(), pool.modelVersion());
         final PlacementReason reason =
--- a/src/main/java/org/wigeongrade/decisions/placement/FreeVms.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/FreeVms.java
@@ -12,27 +12,27 @@
 import org.wigeongrade.ids.ModelVersionName;
 
 /**
- * The VMs that one plan may still bind to groups, by fabric domain.
+ * Free VMs that one plan may still assign to groups, by fabric domain.
  *
- * <p>Invariant: a VM that was taken is not given again. Not thread safe.
+ * <p>Invariant: a VM is taken at most once. Not thread safe.
  */
 final class FreeVms {
     private final TreeMap<DomainKey, List<Announcement>> byDomain = new TreeMap<>();
 
-    FreeVms(List<Announcement> free) {
-        free.forEach(said -> byDomain.computeIfAbsent(DomainKey.of(said), key -> new ArrayList<>())
-                .add(said));
+    FreeVms(List<Announcement> freeAnnouncements) {
+        freeAnnouncements.forEach(announcement -> byDomain.computeIfAbsent(DomainKey.of(announcement), key -> new ArrayList<>())
+                .add(announcement));
     }
 
     Set<DomainKey> domains() {
         return byDomain.keySet();
     }
 
-    int in(DomainKey domain) {
+    int count(DomainKey domain) {
         return byDomain.getOrDefault(domain, List.of()).size();
     }
 
-    int in(AvailabilityZone zone) {
+    int count(AvailabilityZone zone) {
         return byDomain.entrySet().stream()
                 .filter(entry -> entry.getKey().zone().equals(zone))
                 .mapToInt(entry -> entry.getValue().size())
@@ -40,38 +40,41 @@
     }
 
     /** Returns how many free VMs of the domain still announce the group. */
-    int survivors(DomainKey domain, GroupName group) {
+    int countAnnouncing(DomainKey domain, GroupName group) {
         return (int) byDomain.getOrDefault(domain, List.of()).stream()
-                .filter(said -> announces(said, group))
+                .filter(announcement -> announces(announcement, group))
                 .count();
     }
 
     /** Returns how many free VMs of the domain hold the model version. */
-    int holding(DomainKey domain, ModelVersionName version) {
+    int countHolding(DomainKey domain, ModelVersionName version) {
         return (int) byDomain.getOrDefault(domain, List.of()).stream()
-                .filter(said -> holds(said, version))
+                .filter(announcement -> holds(announcement, version))
                 .count();
     }
 
-    /** Takes VMs of a domain: those that still announce the group first, then those that hold the model version. */
+    /**
+     * Removes and returns {@code count} VMs of a domain. VMs that still announce the group are taken first, then those
+     * that hold the model version, and last by VM name.
+     */
     List<Announcement> take(DomainKey domain, int count, GroupName group, ModelVersionName version) {
-        final List<Announcement> free = byDomain.get(domain);
-        final List<Announcement> taken = free.stream()
-                .sorted(Comparator.comparing((Announcement said) -> !announces(said, group))
-                        .thenComparing(said ->
-                                !said.modelVersion().filter(version::equals).isPresent())
-                        .thenComparing(said -> said.vm().vm()))
+        final List<Announcement> freeInDomain = byDomain.get(domain);
+        final List<Announcement> taken = freeInDomain.stream()
+                .sorted(Comparator.comparing((Announcement announcement) -> !announces(announcement, group))
+                        .thenComparing(announcement ->
+                                !announcement.modelVersion().filter(version::equals).isPresent())
+                        .thenComparing(announcement -> announcement.vm().vm()))
                 .limit(count)
                 .collect(ImmutableList.toImmutableList());
-        free.removeAll(taken);
+        freeInDomain.removeAll(taken);
         return taken;
     }
 
-    private static boolean holds(Announcement said, ModelVersionName version) {
-        return said.modelVersion().filter(version::equals).isPresent();
+    private static boolean holds(Announcement announcement, ModelVersionName version) {
+        return announcement.modelVersion().filter(version::equals).isPresent();
     }
 
-    private static boolean announces(Announcement said, GroupName group) {
-        return said.group().filter(group::equals).isPresent();
+    private static boolean announces(Announcement announcement, GroupName group) {
+        return announcement.group().filter(group::equals).isPresent();
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/placement/GroupNotDeclared.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/GroupNotDeclared.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import org.wigeongrade.decisions.control.FormedGroup;
 
-/** Finds groups that the declared set no longer asks for: with fewer replicas the highest numbers. Stateless. */
+/**
+ * Finds groups that the declared set no longer contains. If a pool has fewer replicas than before, these are its
+ * highest-numbered groups. Stateless.
+ */
 final class GroupNotDeclared implements DissolveRule {
     @Override
     public PlacementReason reason() {
@@ -17,9 +20,9 @@
 
     @Override
     public Optional<String> find(FormedGroup group, PlacementView view) {
-        final boolean wanted = view.declared(group.group())
+        final boolean stillDeclared = view.declaredGroup(group.group())
                 .filter(declared -> declared.pool().name().equals(group.pool()))
                 .isPresent();
-        return wanted ? Optional.empty() : Optional.of("pool " + group.pool());
+        return stillDeclared ? Optional.empty() : Optional.of("pool " + group.pool());
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/placement/GroupSizeChanged.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/GroupSizeChanged.java
@@ -17,7 +17,7 @@
 
     @Override
     public Optional<String> find(FormedGroup group, PlacementView view) {
-        return view.declared(group.group())
+        return view.declaredGroup(group.group())
                 .filter(declared ->
                         declared.pool().vmsPerReplica() != group.members().size())
                 .map(declared ->
--- a/src/main/java/org/wigeongrade/decisions/placement/MemberLost.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/MemberLost.java
@@ -4,7 +4,10 @@
 import org.wigeongrade.decisions.control.FormedGroup;
 import org.wigeongrade.ids.VmIncarnation;
 
-/** Finds groups with a member whose announcement lease has ended, since the replica is dead without it. Stateless. */
+/**
+ * Finds groups with a member whose announcement lease has ended, since a replica cannot serve without all its members.
+ * Stateless.
+ */
 final class MemberLost implements DissolveRule {
     @Override
     public PlacementReason reason() {
@@ -18,11 +21,11 @@
 
     @Override
     public Optional<String> find(FormedGroup group, PlacementView view) {
-        if (!view.input().knowsMembers()) {
+        if (!view.input().missingMembersAreLost()) {
             return Optional.empty();
         }
         return group.members().stream()
-                .filter(member -> view.live(member.vm()).isEmpty())
+                .filter(member -> view.liveAnnouncement(member.vm()).isEmpty())
                 .findFirst()
                 .map(VmIncarnation::toString);
     }
--- a/src/main/java/org/wigeongrade/decisions/placement/MemberRestarted.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/MemberRestarted.java
@@ -5,7 +5,7 @@
 import org.wigeongrade.decisions.membership.Announcement;
 import org.wigeongrade.ids.VmIncarnation;
 
-/** Finds groups with a member that has restarted, since it holds no part of the model any more. Stateless. */
+/** Finds groups with a restarted member, since its new process no longer holds its part of the model. Stateless. */
 final class MemberRestarted implements DissolveRule {
     @Override
     public PlacementReason reason() {
@@ -26,7 +26,7 @@
     }
 
     private static boolean hasRestarted(VmIncarnation member, PlacementView view) {
-        return view.live(member.vm())
+        return view.liveAnnouncement(member.vm())
                 .map(Announcement::vm)
                 .filter(vm -> vm.incarnation() > member.incarnation())
                 .isPresent();
--- a/src/main/java/org/wigeongrade/decisions/placement/ModelVersionChanged.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/ModelVersionChanged.java
@@ -17,7 +17,7 @@
 
     @Override
     public Optional<String> find(FormedGroup group, PlacementView view) {
-        return view.declared(group.group())
+        return view.declaredGroup(group.group())
                 .filter(declared -> !declared.pool().modelVersion().equals(group.modelVersion()))
                 .map(declared -> group.modelVersion() + " to " + declared.pool().modelVersion());
     }
--- a/src/main/java/org/wigeongrade/decisions/placement/Order.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/Order.java
@@ -10,7 +10,8 @@
 
 /**
  * An order to one engine VM; sending it again has no further effect. {@code address} is {@code ip:port}. {@code
- * members} are in rank order. Members, model version and weights are set for JOIN alone. Immutable; safe for use from
+ * members} are in rank order. {@code weights} is the key in the weight store. Members, model version and weights are
+ * set only for JOIN. Immutable; safe for use from
  * any thread.
  */
 public record Order(
--- a/src/main/java/org/wigeongrade/decisions/placement/OrderPlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/OrderPlanner.java
@@ -14,54 +14,55 @@
 import org.wigeongrade.ids.VmIncarnation;
 
 /**
- * Orders members into their groups and VMs that belong to none out of the group they announce.
+ * Plans JOIN orders for members that do not follow their group's order yet, and LEAVE orders for VMs that announce a
+ * group but belong to none.
  *
- * <p>Invariant: an order carries a token that is in the log: the group's own, or for a leave the last one issued, which
- * is larger than that of every order the VM followed before and smaller than that of every later one. Stateless; safe
- * for use from any thread.
+ * <p>Invariant: every order carries a fencing token that is in the log. A JOIN order carries the group's token. A LEAVE
+ * order carries the last token issued, which is larger than that of every order the VM followed before and smaller than
+ * that of every later one. Stateless; safe for use from any thread.
  */
 final class OrderPlanner {
     private OrderPlanner() {}
 
-    /** Returns the orders that are not followed yet; {@code dissolving} are the groups that this plan dissolves. */
-    static List<PlacementAction> plan(PlacementView view, Set<GroupName> dissolving) {
+    /** Returns the orders that the VMs do not follow yet; {@code dissolvingGroups} are dissolved by the same plan. */
+    static List<PlacementAction> plan(PlacementView view, Set<GroupName> dissolvingGroups) {
         final List<PlacementAction> actions = new ArrayList<>();
         view.input().groups().stream()
-                .filter(group -> !dissolving.contains(group.group()))
-                .forEach(group -> join(view, group, actions));
-        view.input().announcements().forEach(said -> leave(view, said, actions));
+                .filter(group -> !dissolvingGroups.contains(group.group()))
+                .forEach(group -> planJoins(view, group, actions));
+        view.input().announcements().forEach(announcement -> planLeave(view, announcement, actions));
         return actions;
     }
 
-    private static void join(PlacementView view, FormedGroup group, List<PlacementAction> actions) {
+    private static void planJoins(PlacementView view, FormedGroup group, List<PlacementAction> actions) {
         for (final VmIncarnation member : group.members()) {
-            final Optional<Announcement> said =
-                    view.live(member).filter(announced -> !announced.follows(group.group(), group.fencingToken()));
-            if (said.isEmpty()) {
+            final Optional<Announcement> announcement =
+                    view.liveAnnouncement(member).filter(live -> !live.follows(group.group(), group.fencingToken()));
+            if (announcement.isEmpty()) {
                 continue;
             }
-            if (!mayOrder(view, group.group())) {
+            if (!maySendOrders(view, group.group())) {
                 actions.add(new PlacementAction.Hold(group.group(), PlacementReason.OLD_LEADER_ORDERS));
                 return;
             }
             actions.add(new PlacementAction.SendOrder(
-                    joinOrder(view, group, said.get()), PlacementReason.ORDER_NOT_FOLLOWED));
+                    joinOrder(view, group, announcement.get()), PlacementReason.ORDER_NOT_FOLLOWED));
         }
     }
 
-    private static void leave(PlacementView view, Announcement said, List<PlacementAction> actions) {
-        if (said.group().isEmpty() || view.groupOf(said.vm().vm()).isPresent()) {
+    private static void planLeave(PlacementView view, Announcement announcement, List<PlacementAction> actions) {
+        if (announcement.group().isEmpty() || view.groupOf(announcement.vm().vm()).isPresent()) {
             return;
         }
-        final GroupName group = said.group().get();
-        if (!mayOrder(view, group)) {
+        final GroupName group = announcement.group().get();
+        if (!maySendOrders(view, group)) {
             actions.add(new PlacementAction.Hold(group, PlacementReason.OLD_LEADER_ORDERS));
             return;
         }
         final Order order = new Order(
                 OrderKind.LEAVE,
-                said.vm(),
-                said.address(),
+                announcement.vm(),
+                announcement.address(),
                 group,
                 List.of(),
                 Optional.empty(),
@@ -70,30 +71,30 @@
         actions.add(new PlacementAction.SendOrder(order, PlacementReason.GROUP_NOT_ASSIGNED));
     }
 
-    /** Returns whether the group's endpoints check fencing tokens, or the earlier leader's orders have all ended. */
-    private static boolean mayOrder(PlacementView view, GroupName group) {
-        if (view.input().oldLeaderOrdersEnded()) {
+    /** Returns whether the group's endpoints check fencing tokens or no previous leader's order can still arrive. */
+    private static boolean maySendOrders(PlacementView view, GroupName group) {
+        if (view.input().previousLeaderOrdersEnded()) {
             return true;
         }
-        return view.declared(group)
+        return view.declaredGroup(group)
                 .map(DeclaredGroup::pool)
                 .filter(PoolDeclaration::fencingChecked)
                 .isPresent();
     }
 
-    private static Order joinOrder(PlacementView view, FormedGroup group, Announcement said) {
+    private static Order joinOrder(PlacementView view, FormedGroup group, Announcement announcement) {
         return new Order(
                 OrderKind.JOIN,
-                said.vm(),
-                said.address(),
+                announcement.vm(),
+                announcement.address(),
                 group.group(),
                 group.members().stream().map(VmIncarnation::vm).toList(),
                 Optional.of(group.modelVersion()),
-                weights(view, group.modelVersion()),
+                weightsOf(view, group.modelVersion()),
                 group.fencingToken());
     }
 
-    private static Optional<String> weights(PlacementView view, ModelVersionName version) {
+    private static Optional<String> weightsOf(PlacementView view, ModelVersionName version) {
         return view.input().declaredSet().modelVersions().stream()
                 .filter(declared -> declared.name().equals(version))
                 .map(ModelVersionDeclaration::weights)
--- a/src/main/java/org/wigeongrade/decisions/placement/PlacementAction.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/PlacementAction.java
@@ -3,20 +3,20 @@
 import org.wigeongrade.decisions.control.Command;
 import org.wigeongrade.ids.GroupName;
 
-/** One thing that the planner decided. Immutable; safe for use from any thread. */
+/** One action of a placement plan. Immutable; safe for use from any thread. */
 public sealed interface PlacementAction {
-    /** Returns why. */
+    /** Returns why the planner decided on the action. */
     PlacementReason reason();
 
-    /** Propose the command to the log. */
+    /** Propose the command that forms the group to the log. */
     record FormGroup(Command.FormGroup command, PlacementReason reason) implements PlacementAction {}
 
-    /** Propose the command to the log. */
+    /** Propose the command that dissolves the group to the log. */
     record DissolveGroup(Command.DissolveGroup command, PlacementReason reason) implements PlacementAction {}
 
-    /** Send the order; it comes again with each plan until the VM announces that it follows it. */
+    /** Send the order; every plan repeats it until the VM announces that it follows it. */
     record SendOrder(Order order, PlacementReason reason) implements PlacementAction {}
 
-    /** Do nothing about the group for now; kept for operators who ask why. */
+    /** Take no action on the group for now; the reason is kept so that operators can query it. */
     record Hold(GroupName group, PlacementReason reason) implements PlacementAction {}
 }
--- a/src/main/java/org/wigeongrade/decisions/placement/PlacementInput.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/PlacementInput.java
@@ -16,12 +16,13 @@
 import org.wigeongrade.ids.GroupName;
 
 /**
- * What the planner decides from. {@code announcements} have valid leases at {@code nowNanos}. {@code dissolvedGroups}
- * were dissolved and not formed again.
+ * The input of {@link PlacementPlanner}. {@code lastToken} is the last fencing token in the log. {@code announcements}
+ * have valid leases at {@code nowNanos}. {@code dissolvedGroups} were dissolved and have not been formed again.
  *
- * <p>Invariant: the planner counts no member as lost before {@code membersKnownAtNanos}, since a new leader has not
- * heard of every VM yet, and gives no order to endpoints that ignore fencing tokens before {@code
- * oldLeaderOrdersEndNanos}. Immutable; safe for use from any thread.
+ * <p>Invariant: the planner counts no member as lost before {@code membersKnownAtNanos}, since a new leader may not
+ * have received an announcement from every VM yet. It sends no order to endpoints that ignore fencing tokens before
+ * {@code previousLeaderOrdersEndNanos}, since an order of the previous leader may still arrive. Immutable; safe for use
+ * from any thread.
  */
 public record PlacementInput(
         DeclaredSet declaredSet,
@@ -34,8 +35,8 @@
         long nowNanos,
         long nowEpochMs,
         long membersKnownAtNanos,
-        long oldLeaderOrdersEndNanos) {
-    /** Largest sequence of an announced token that is taken into account. */
+        long previousLeaderOrdersEndNanos) {
+    /** Largest sequence for which an announced token counts in {@link #largestToken}. */
     static final long MAX_ANNOUNCED_SEQUENCE = 1L << 48;
 
     public PlacementInput {
@@ -45,7 +46,7 @@
         announcements = List.copyOf(announcements);
     }
 
-    /** Reads the input from a leader's state and announcement table. */
+    /** Returns the input for a leader's control state and announcement table. */
     public static PlacementInput of(
             ControlState state,
             AnnouncementTable announcements,
@@ -53,7 +54,7 @@
             long nowNanos,
             long nowEpochMs,
             long membersKnownAtNanos,
-            long oldLeaderOrdersEndNanos) {
+            long previousLeaderOrdersEndNanos) {
         final PlacementFacts facts = state.placementFacts();
         return new PlacementInput(
                 facts.declaredSet(),
@@ -66,27 +67,28 @@
                 nowNanos,
                 nowEpochMs,
                 membersKnownAtNanos,
-                oldLeaderOrdersEndNanos);
+                previousLeaderOrdersEndNanos);
     }
 
     /**
-     * Returns the largest token in the log or followed by any VM, so that VMs which followed orders of a control state
-     * that was lost follow the new ones. Announced sequences past {@link #MAX_ANNOUNCED_SEQUENCE} are not believed.
+     * Returns the largest token in the log or announced by any VM. New tokens are larger, so VMs that followed orders
+     * of a lost control state also follow the new ones. Announced tokens whose sequence is above
+     * {@link #MAX_ANNOUNCED_SEQUENCE} are ignored.
      */
     FencingToken largestToken() {
         return announcements.stream()
                 .map(Announcement::orderToken)
                 .filter(token -> token.sequence() <= MAX_ANNOUNCED_SEQUENCE)
-                .reduce(lastToken, (one, other) -> one.compareTo(other) >= 0 ? one : other);
+                .reduce(lastToken, (left, right) -> left.compareTo(right) >= 0 ? left : right);
     }
 
-    /** Returns whether the members that are missing now count as lost. */
-    boolean knowsMembers() {
+    /** Returns whether members without a live announcement count as lost. */
+    boolean missingMembersAreLost() {
         return nowNanos - membersKnownAtNanos >= 0;
     }
 
-    /** Returns whether every order of an earlier leader has arrived or never will. */
-    boolean oldLeaderOrdersEnded() {
-        return nowNanos - oldLeaderOrdersEndNanos >= 0;
+    /** Returns whether no order of a previous leader can arrive any more. */
+    boolean previousLeaderOrdersEnded() {
+        return nowNanos - previousLeaderOrdersEndNanos >= 0;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/placement/PlacementPlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/PlacementPlanner.java
@@ -10,22 +10,23 @@
 /**
  * Decides which groups to dissolve, which to form and which orders to send.
  *
- * <p>Invariant: the plan depends on the input alone; equal inputs give equal plans. The leader applies a plan's commands
- * in their order and makes the next plan after their results are known. Stateless; safe for use from any thread.
+ * <p>Invariant: the plan depends only on the input, so equal inputs give equal plans. The leader applies a plan's
+ * commands in their order and makes the next plan after their results are known. Stateless; safe for use from any
+ * thread.
  */
 public final class PlacementPlanner {
     private PlacementPlanner() {}
 
-    /** Returns the plan: forms and holds, then dissolves, then orders. */
+    /** Returns the plan: first the groups to form or hold, then the groups to dissolve, then the orders to send. */
     public static List<PlacementAction> plan(PlacementInput input) {
         final PlacementView view = new PlacementView(input);
-        final TokenSource tokens = new TokenSource(input.term(), input.largestToken());
-        final List<PlacementAction> formed = FormationPlanner.plan(view, tokens);
-        final List<PlacementAction> dissolved = DissolvePlanner.plan(view, formingPools(formed), tokens);
+        final FencingTokenIssuer tokens = new FencingTokenIssuer(input.term(), input.largestToken());
+        final List<PlacementAction> formations = FormationPlanner.plan(view, tokens);
+        final List<PlacementAction> dissolutions = DissolvePlanner.plan(view, formingPools(formations), tokens);
         return ImmutableList.<PlacementAction>builder()
-                .addAll(formed)
-                .addAll(dissolved)
-                .addAll(OrderPlanner.plan(view, groups(dissolved)))
+                .addAll(formations)
+                .addAll(dissolutions)
+                .addAll(OrderPlanner.plan(view, dissolvedGroups(dissolutions)))
                 .build();
     }
 
@@ -36,8 +37,8 @@
                 .collect(ImmutableSet.toImmutableSet());
     }
 
-    private static Set<GroupName> groups(List<PlacementAction> dissolved) {
-        return dissolved.stream()
+    private static Set<GroupName> dissolvedGroups(List<PlacementAction> dissolutions) {
+        return dissolutions.stream()
                 .map(action ->
                         ((PlacementAction.DissolveGroup) action).command().group())
                 .collect(ImmutableSet.toImmutableSet());
--- a/src/main/java/org/wigeongrade/decisions/placement/PlacementReason.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/PlacementReason.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** Reason code of each placement decision; docs/RULES.md has a section for each. Immutable; safe for use from any thread. */
+/**
+ * Reasons for placement decisions; docs/RULES.md has a section for the code of each. Immutable; safe for use from any
+ * thread.
+ */
 public enum PlacementReason {
     GROUP_WANTED("the declared set asks for the group"),
     GROUP_REPLACED("the group was dissolved and the declared set still asks for it"),
@@ -14,11 +17,11 @@
     ZONE_NOT_ALLOWED("the pool or group may no longer use the availability zone"),
     ORDER_NOT_FOLLOWED("the VM does not announce its order yet"),
     GROUP_NOT_ASSIGNED("the VM announces a group that it does not belong to"),
-    LOADS_BOUND("as many replicas as the pool's max_loads are loading"),
+    LOADS_BOUND("the pool already has max_loads replicas loading"),
     ZONES_OUT("every availability zone that the group may use is out of service"),
     NO_DOMAIN_WITH_ENOUGH_VMS("no fabric domain has enough free VMs"),
-    SPARES_KEPT("the VMs that are free are kept as warm spares"),
-    OLD_LEADER_ORDERS("an order of the earlier leader may still arrive and its endpoints do not check fencing tokens");
+    SPARES_KEPT("the remaining free VMs are kept as warm spares"),
+    OLD_LEADER_ORDERS("an order of the previous leader may still arrive and the endpoints do not check fencing tokens");
 
     private final String text;
 
@@ -36,7 +39,7 @@
         return text;
     }
 
-    /** Returns the reason with its code, and what it was about, as it stands in the log. */
+    /** Returns the code and text of the reason, with the detail in parentheses unless empty, as written to the log. */
     public String describe(String detail) {
         return code() + ": " + text + (detail.isEmpty() ? "" : " (" + detail + ")");
     }
--- a/src/main/java/org/wigeongrade/decisions/placement/PlacementView.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/PlacementView.java
@@ -19,25 +19,25 @@
 import org.wigeongrade.ids.VmIncarnation;
 import org.wigeongrade.ids.VmName;
 
-/** The planner's input indexed by VM and group. Immutable; safe for use from any thread. */
+/** Indexes the planner's input by VM, group and pool. Immutable; safe for use from any thread. */
 final class PlacementView {
     private final PlacementInput input;
-    private final ImmutableMap<VmName, Announcement> live;
+    private final ImmutableMap<VmName, Announcement> liveAnnouncement;
     private final ImmutableMap<VmName, FormedGroup> groupOfVm;
     private final ImmutableMap<GroupName, FormedGroup> formed;
     private final ImmutableListMultimap<PoolName, DeclaredGroup> declaredOfPool;
-    private final ImmutableMap<GroupName, DeclaredGroup> declared;
+    private final ImmutableMap<GroupName, DeclaredGroup> declaredGroup;
     private final ImmutableSet<GroupName> loaded;
 
     PlacementView(PlacementInput input) {
         this.input = input;
-        this.live = Maps.uniqueIndex(input.announcements(), said -> said.vm().vm());
+        this.liveAnnouncement = Maps.uniqueIndex(input.announcements(), announcement -> announcement.vm().vm());
         this.formed = Maps.uniqueIndex(input.groups(), FormedGroup::group);
         this.groupOfVm = groupsOfVms(input.groups());
         this.declaredOfPool = declaredGroups(input);
-        this.declared = Maps.uniqueIndex(declaredOfPool.values(), DeclaredGroup::name);
+        this.declaredGroup = Maps.uniqueIndex(declaredOfPool.values(), DeclaredGroup::name);
         this.loaded = input.groups().stream()
-                .filter(this::hasLoaded)
+                .filter(this::computeLoaded)
                 .map(FormedGroup::group)
                 .collect(ImmutableSet.toImmutableSet());
     }
@@ -52,15 +52,15 @@
         final ImmutableListMultimap.Builder<PoolName, DeclaredGroup> groups = ImmutableListMultimap.builder();
         input.declaredSet()
                 .pools()
-                .forEach(pool -> groups.putAll(pool.name(), DeclaredGroups.of(input.declaredSet(), pool)));
+                .forEach(pool -> groups.putAll(pool.name(), DeclaredGroups.ofPool(input.declaredSet(), pool)));
         return groups.build();
     }
 
-    private boolean hasLoaded(FormedGroup group) {
+    private boolean computeLoaded(FormedGroup group) {
         return group.members().stream()
-                .allMatch(member -> live(member)
-                        .filter(said -> said.follows(group.group(), group.fencingToken()))
-                        .filter(said -> said.state().serves())
+                .allMatch(member -> liveAnnouncement(member)
+                        .filter(announcement -> announcement.follows(group.group(), group.fencingToken()))
+                        .filter(announcement -> announcement.state().serves())
                         .isPresent());
     }
 
@@ -68,25 +68,26 @@
         return input;
     }
 
-    Optional<Announcement> live(VmName vm) {
-        return Optional.ofNullable(live.get(vm));
+    /** Returns the announcement of the VM whose lease is valid, of whichever incarnation. */
+    Optional<Announcement> liveAnnouncement(VmName vm) {
+        return Optional.ofNullable(liveAnnouncement.get(vm));
     }
 
-    /** Returns the live announcement of exactly this incarnation, if there is one. */
-    Optional<Announcement> live(VmIncarnation member) {
-        return live(member.vm()).filter(said -> said.vm().equals(member));
+    /** Returns the live announcement of this incarnation; empty if the VM announces none or another incarnation. */
+    Optional<Announcement> liveAnnouncement(VmIncarnation member) {
+        return liveAnnouncement(member.vm()).filter(announcement -> announcement.vm().equals(member));
     }
 
     Optional<FormedGroup> groupOf(VmName vm) {
         return Optional.ofNullable(groupOfVm.get(vm));
     }
 
-    Optional<DeclaredGroup> declared(GroupName group) {
-        return Optional.ofNullable(declared.get(group));
+    Optional<DeclaredGroup> declaredGroup(GroupName group) {
+        return Optional.ofNullable(declaredGroup.get(group));
     }
 
-    /** Returns the groups that the pool declares, in the order in which they are formed. */
-    List<DeclaredGroup> declaredOf(PoolName pool) {
+    /** Returns the declared groups of the pool, in the order in which they are formed. */
+    List<DeclaredGroup> declaredGroupsOf(PoolName pool) {
         return declaredOfPool.get(pool);
     }
 
@@ -102,23 +103,23 @@
         return input.zones().getOrDefault(zone, ZoneState.IN).takesNewWork();
     }
 
-    List<FormedGroup> formedOf(PoolName pool) {
+    List<FormedGroup> formedGroupsOf(PoolName pool) {
         return input.groups().stream()
                 .filter(group -> group.pool().equals(pool))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns whether every member follows its order and serves. */
+    /** Returns whether every member follows the group's order and serves. */
     boolean isLoaded(FormedGroup group) {
         return loaded.contains(group.group());
     }
 
-    /** Returns the engine VMs that belong to no group and may join one, in the order of names. */
-    List<Announcement> free() {
+    /** Returns the live announcements of engine VMs that belong to no group and may join one, in the order of names. */
+    List<Announcement> freeVms() {
         return input.announcements().stream()
-                .filter(said -> said.kind().joinsGroups())
-                .filter(said -> said.state().mayJoinGroup())
-                .filter(said -> !groupOfVm.containsKey(said.vm().vm()))
+                .filter(announcement -> announcement.kind().joinsGroups())
+                .filter(announcement -> announcement.state().mayJoinGroup())
+                .filter(announcement -> !groupOfVm.containsKey(announcement.vm().vm()))
                 .collect(ImmutableList.toImmutableList());
     }
 
--- a/src/main/java/org/wigeongrade/decisions/placement/ZoneNotAllowed.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/ZoneNotAllowed.java
@@ -17,7 +17,7 @@
 
     @Override
     public Optional<String> find(FormedGroup group, PlacementView view) {
-        return view.declared(group.group())
+        return view.declaredGroup(group.group())
                 .filter(declared -> !declared.allows(group.zone()))
                 .map(declared -> "availability zone " + group.zone());
     }
--- a/src/main/java/org/wigeongrade/decisions/placement/package-info.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which VMs form which groups, when groups are dissolved, and which orders endpoint VMs get. */
+/** Decides which VMs form which groups, when groups are dissolved, and which orders are sent to engine VMs. */
 package org.wigeongrade.decisions.placement;
--- a/src/main/java/org/wigeongrade/ids/AttemptId.java
+++ b/src/main/java/org/wigeongrade/ids/AttemptId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Identifies one send of a request to one endpoint.
+ * Identifies one attempt to send a request to an endpoint.
  *
  * <p>Invariant: matches the pattern of {@link Names}. Immutable; safe for use from any thread.
  */
@@ -13,7 +13,7 @@
         Names.check("attempt id", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the id from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static AttemptId of(String value) {
         return new AttemptId(value);
--- a/src/main/java/org/wigeongrade/ids/AvailabilityZone.java
+++ b/src/main/java/org/wigeongrade/ids/AvailabilityZone.java
@@ -13,7 +13,7 @@
         Names.check("availability zone name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static AvailabilityZone of(String value) {
         return new AvailabilityZone(value);
--- a/src/main/java/org/wigeongrade/ids/ChangeId.java
+++ b/src/main/java/org/wigeongrade/ids/ChangeId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Identifies one operator's change; a resend carries the same id.
+ * Identifies one change by an operator; if the change is sent again, it carries the same id.
  *
  * <p>Invariant: matches the pattern of {@link Names}. Immutable; safe for use from any thread.
  */
@@ -13,7 +13,7 @@
         Names.check("change id", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the id from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static ChangeId of(String value) {
         return new ChangeId(value);
--- a/src/main/java/org/wigeongrade/ids/EndpointId.java
+++ b/src/main/java/org/wigeongrade/ids/EndpointId.java
@@ -13,7 +13,7 @@
         Names.check("endpoint id", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the id from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static EndpointId of(String value) {
         return new EndpointId(value);
--- a/src/main/java/org/wigeongrade/ids/FabricDomain.java
+++ b/src/main/java/org/wigeongrade/ids/FabricDomain.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Name of a fabric domain: VMs that share one fast interconnect.
+ * Name of a fabric domain: a set of VMs that share one fast interconnect.
  *
  * <p>Invariant: matches the pattern of {@link Names}. Immutable; safe for use from any thread.
  */
@@ -13,7 +13,7 @@
         Names.check("fabric domain name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static FabricDomain of(String value) {
         return new FabricDomain(value);
--- a/src/main/java/org/wigeongrade/ids/FencingToken.java
+++ b/src/main/java/org/wigeongrade/ids/FencingToken.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 
 /**
- * Orders the orders given to endpoints: the leader's term, then a sequence within it.
+ * Fencing token of an order to an endpoint: the leader's term, then a sequence number within the term.
  *
  * <p>Invariant: a later order carries a larger token. Immutable; safe for use from any thread.
  */
@@ -11,7 +11,7 @@
     private static final Comparator<FencingToken> ORDER =
             Comparator.comparingLong(FencingToken::term).thenComparingLong(FencingToken::sequence);
 
-    /** Smaller than every token that a leader issues. */
+    /** A token smaller than every token that a leader issues. */
     public static final FencingToken NONE = new FencingToken(0, 0);
 
     @Override
--- a/src/main/java/org/wigeongrade/ids/GroupName.java
+++ b/src/main/java/org/wigeongrade/ids/GroupName.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Name of a group: the VMs that together hold one replica.
+ * Name of a group: the VMs that together run one engine replica.
  *
  * <p>Invariant: matches the pattern of {@link Names}. Immutable; safe for use from any thread.
  */
@@ -13,7 +13,7 @@
         Names.check("group name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static GroupName of(String value) {
         return new GroupName(value);
--- a/src/main/java/org/wigeongrade/ids/ModelVersionName.java
+++ b/src/main/java/org/wigeongrade/ids/ModelVersionName.java
@@ -13,7 +13,7 @@
         Names.check("model version name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static ModelVersionName of(String value) {
         return new ModelVersionName(value);
--- a/src/main/java/org/wigeongrade/ids/Names.java
+++ b/src/main/java/org/wigeongrade/ids/Names.java
@@ -2,7 +2,10 @@
 
 import java.util.regex.Pattern;
 
-/** Pattern shared by all names: letters, digits and {@code . _ - / :}, 1 to 128 characters. Stateless. */
+/**
+ * Checks names and ids against the pattern that all share: 1 to 128 letters, digits or {@code . _ - / :}, beginning
+ * with a letter or digit. Stateless.
+ */
 public final class Names {
     private static final Pattern PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._/:-]{0,127}");
 
--- a/src/main/java/org/wigeongrade/ids/NodeName.java
+++ b/src/main/java/org/wigeongrade/ids/NodeName.java
@@ -13,7 +13,7 @@
         Names.check("node name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static NodeName of(String value) {
         return new NodeName(value);
--- a/src/main/java/org/wigeongrade/ids/OrganisationName.java
+++ b/src/main/java/org/wigeongrade/ids/OrganisationName.java
@@ -13,7 +13,7 @@
         Names.check("organisation name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static OrganisationName of(String value) {
         return new OrganisationName(value);
--- a/src/main/java/org/wigeongrade/ids/PoolName.java
+++ b/src/main/java/org/wigeongrade/ids/PoolName.java
@@ -13,7 +13,7 @@
         Names.check("pool name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static PoolName of(String value) {
         return new PoolName(value);
--- a/src/main/java/org/wigeongrade/ids/RequestId.java
+++ b/src/main/java/org/wigeongrade/ids/RequestId.java
@@ -13,7 +13,7 @@
         Names.check("request id", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the id from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static RequestId of(String value) {
         return new RequestId(value);
--- a/src/main/java/org/wigeongrade/ids/RouteName.java
+++ b/src/main/java/org/wigeongrade/ids/RouteName.java
@@ -13,7 +13,7 @@
         Names.check("route name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static RouteName of(String value) {
         return new RouteName(value);
--- a/src/main/java/org/wigeongrade/ids/ServiceName.java
+++ b/src/main/java/org/wigeongrade/ids/ServiceName.java
@@ -13,7 +13,7 @@
         Names.check("service name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static ServiceName of(String value) {
         return new ServiceName(value);
--- a/src/main/java/org/wigeongrade/ids/VmIncarnation.java
+++ b/src/main/java/org/wigeongrade/ids/VmIncarnation.java
@@ -1,7 +1,7 @@
 package org.wigeongrade.ids;
 
 /**
- * One life of a VM's endpoint process: the VM's name and the incarnation number it announced.
+ * One run of a VM's endpoint process: the VM's name and the incarnation number that the process announced.
  *
  * <p>Invariant: a restarted process announces a larger incarnation. Immutable; safe for use from any thread.
  */
--- a/src/main/java/org/wigeongrade/ids/VmName.java
+++ b/src/main/java/org/wigeongrade/ids/VmName.java
@@ -13,7 +13,7 @@
         Names.check("VM name", value);
     }
 
-    /** Reads the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses the name from its text form; throws {@link IllegalArgumentException} if it is malformed. */
     @JsonCreator
     public static VmName of(String value) {
         return new VmName(value);
--- a/src/test/java/org/wigeongrade/decisions/Sets.java
+++ b/src/test/java/org/wigeongrade/decisions/Sets.java
@@ -14,7 +14,7 @@
 import org.wigeongrade.ids.PoolName;
 import org.wigeongrade.ids.ServiceName;
 
-/** Declared objects for tests. Stateless. */
+/** Creates declared sets and objects for tests. Stateless. */
 public final class Sets {
     public static final AvailabilityZone ZONE_A = AvailabilityZone.of("zone-a");
     public static final AvailabilityZone ZONE_B = AvailabilityZone.of("zone-b");
@@ -26,7 +26,10 @@
 
     private Sets() {}
 
-    /** Returns a valid set with one pool, three availability zones, one service and one organisation. */
+    /**
+     * Returns a set with the given pool, three availability zones, two model versions, one service and one
+     * organisation.
+     */
     public static DeclaredSet with(PoolDeclaration pool) {
         return new DeclaredSet(
                 List.of(zone(ZONE_A), zone(ZONE_B), zone(ZONE_C)),
--- a/src/test/java/org/wigeongrade/decisions/config/ConfigurationRulesTest.java
+++ b/src/test/java/org/wigeongrade/decisions/config/ConfigurationRulesTest.java
@@ -26,7 +26,7 @@
 final class ConfigurationRulesTest {
     private static final PoolDeclaration POOL = Sets.pool(2, 2);
 
-    /** Sets that a rule must find: the code, the object and field it names, and the set. */
+    /** Faulty sets: the code, object and field of the fault that a rule must find, and the set. */
     static Stream<Arguments> bad() {
         return Stream.of(
                 bad("missing_value", "(unnamed)", "name", zones(Sets.zone(null))),
@@ -53,7 +53,7 @@
                                 Sets.organisation("carrick", Sets.DIGEST), Sets.organisation("lyle", Sets.DIGEST))),
                 bad("group_name_taken", "guide/2", "name", group("guide/2", "guide", ZONE_A)),
                 bad("group_zone_not_in_pool", "g", "availability_zone", pinnedOutsidePool()),
-                bad("pool_without_zone", "guide", "availability_zones", poolAlone()),
+                bad("pool_without_zone", "guide", "availability_zones", poolWithoutZones()),
                 bad(
                         "warm_spares_without_effect",
                         "guide",
@@ -76,18 +76,18 @@
         assertThat(fault.object().name()).isEqualTo(object);
     }
 
-    /** Sets close to a fault in which no rule may find any. */
+    /** Valid sets that are close to a fault; no rule may find a fault in them. */
     static Stream<Arguments> good() {
         return Stream.of(
                 Arguments.of("empty set", DeclaredSet.EMPTY),
                 Arguments.of("zone without a pool", zones(Sets.zone(ZONE_A))),
                 Arguments.of("pool without replicas", Sets.with(pool(0, 2, 8, 2))),
                 Arguments.of("cold capacity equal to capacity", Sets.with(pool(2, 2, 8, 8))),
-                Arguments.of("group named past the numbered ones", group("guide/3", "guide", ZONE_A)),
-                Arguments.of("group named like a padded number", group("guide/a2", "guide", ZONE_A)),
-                Arguments.of("spares kept", Sets.with(pool(2, 2, 8, 2, PlacementWeight.GROUP_DOWNTIME, 1, ZONE_A))),
+                Arguments.of("group named with the number after the last replica", group("guide/3", "guide", ZONE_A)),
+                Arguments.of("group name with a letter before the number", group("guide/a2", "guide", ZONE_A)),
+                Arguments.of("warm spares of a pool that keeps them", Sets.with(pool(2, 2, 8, 2, PlacementWeight.GROUP_DOWNTIME, 1, ZONE_A))),
                 Arguments.of("two pools of one version", twoPools(GUIDE_1)),
-                Arguments.of("new version beside the old", Sets.with(version("guide-2"))));
+                Arguments.of("pool switched to another declared version", Sets.with(version("guide-2"))));
     }
 
     @ParameterizedTest
@@ -112,13 +112,13 @@
     }
 
     @Test
-    void everyRuleIsTriedAndHasASectionInTheDocs() throws IOException {
+    void everyRuleIsTestedAndHasASectionInTheDocs() throws IOException {
         final String docs = Files.readString(Path.of("docs/RULES.md"));
-        final List<String> tried =
+        final List<String> testedCodes =
                 bad().map(arguments -> (String) arguments.get()[0]).distinct().toList();
 
         for (final ConfigurationRule rule : ConfigurationChecker.rules()) {
-            assertThat(tried).contains(rule.code());
+            assertThat(testedCodes).contains(rule.code());
             assertThat(docs).contains("### " + rule.code() + "\n\n" + rule.summary());
         }
     }
@@ -184,7 +184,7 @@
                 set.zones(), set.modelVersions(), set.pools(), List.of(group), set.services(), set.organisations());
     }
 
-    private static DeclaredSet poolAlone() {
+    private static DeclaredSet poolWithoutZones() {
         return new DeclaredSet(
                 List.of(), List.of(Sets.version(GUIDE_1)), List.of(POOL), List.of(), List.of(), List.of());
     }
--- a/src/test/java/org/wigeongrade/decisions/placement/PlacementPlannerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/placement/PlacementPlannerTest.java
@@ -22,10 +22,10 @@
 final class PlacementPlannerTest {
     @Test
     void formsDeclaredGroupsInOneDomainEachAndBalancesZones() {
-        final VirtualFleet fleet = Fleets.of(1, 4);
+        final VirtualFleet fleet = VirtualFleets.of(1, 4);
         fleet.declare(Sets.with(Sets.pool(3, 2)));
 
-        Fleets.run(fleet, 30);
+        VirtualFleets.run(fleet, 30);
 
         assertThat(fleet.servingGroups()).hasSize(3);
         assertThat(zonesOf(fleet)).hasSize(3);
@@ -37,14 +37,14 @@
 
     @Test
     void lostMemberIsReplacedBySpareOfTheSameDomain() {
-        final VirtualFleet fleet = Fleets.of(1, 3);
+        final VirtualFleet fleet = VirtualFleets.of(1, 3);
         fleet.declare(Sets.with(Sets.pool(3, 2)));
-        Fleets.run(fleet, 30);
+        VirtualFleets.run(fleet, 30);
         final FormedGroup before = fleet.servingGroups().get(0);
-        final VirtualVm lost = Fleets.vm(fleet, before.first().vm().value());
+        final VirtualVm lost = VirtualFleets.vm(fleet, before.first().vm().value());
 
         lost.stop();
-        Fleets.run(fleet, 40);
+        VirtualFleets.run(fleet, 40);
 
         final FormedGroup after = group(fleet, before.group());
         assertThat(fleet.serves(after)).isTrue();
@@ -54,84 +54,84 @@
     }
 
     @Test
-    void withoutSpareTheGroupIsFormedElsewhereAndItsOtherVmsAreFreed() {
-        final VirtualFleet fleet = Fleets.of(2, 2);
+    void groupWithoutSpareIsFormedInAnotherDomainAndFreesItsVms() {
+        final VirtualFleet fleet = VirtualFleets.of(2, 2);
         fleet.declare(Sets.with(Sets.pool(3, 2)));
-        Fleets.run(fleet, 30);
+        VirtualFleets.run(fleet, 30);
         final FormedGroup before = fleet.servingGroups().get(0);
 
-        Fleets.vm(fleet, before.first().vm().value()).stop();
-        Fleets.run(fleet, 40);
+        VirtualFleets.vm(fleet, before.first().vm().value()).stop();
+        VirtualFleets.run(fleet, 40);
 
         final FormedGroup after = group(fleet, before.group());
         assertThat(fleet.serves(after)).isTrue();
         assertThat(after.fabricDomain()).isNotEqualTo(before.fabricDomain());
-        assertThat(announcedGroup(fleet, before.members().get(1).vm())).isFalse();
+        assertThat(announcesGroup(fleet, before.members().get(1).vm())).isFalse();
     }
 
     @Test
-    void memberThatRestartedIsNotCountedAsTheOneThatLoaded() {
-        final VirtualFleet fleet = Fleets.of(1, 2);
+    void restartedMemberDissolvesItsGroup() {
+        final VirtualFleet fleet = VirtualFleets.of(1, 2);
         fleet.declare(Sets.with(Sets.pool(1, 2)));
-        Fleets.run(fleet, 30);
+        VirtualFleets.run(fleet, 30);
 
-        Fleets.vm(fleet, "zone-a-d1-v1").restart();
-        fleet.step(Fleets.SECOND_NANOS);
+        VirtualFleets.vm(fleet, "zone-a-d1-v1").restart();
+        fleet.step(VirtualFleets.SECOND_NANOS);
 
         assertThat(fleet.servingGroups()).isEmpty();
         assertThat(reasons(fleet)).contains(PlacementReason.MEMBER_RESTARTED);
-        Fleets.run(fleet, 30);
+        VirtualFleets.run(fleet, 30);
         assertThat(fleet.servingGroups()).hasSize(1);
     }
 
     @Test
-    void zoneThatIsOutGetsNoNewGroup() {
-        final VirtualFleet fleet = Fleets.of(1, 4);
+    void zoneOutOfServiceGetsNoNewGroup() {
+        final VirtualFleet fleet = VirtualFleets.of(1, 4);
         fleet.declare(Sets.with(Sets.pool(0, 2)));
         fleet.setZone(Sets.ZONE_A, ZoneState.OUT);
         fleet.declare(Sets.with(Sets.pool(4, 2)));
 
-        Fleets.run(fleet, 30);
+        VirtualFleets.run(fleet, 30);
 
         assertThat(fleet.servingGroups()).hasSize(4);
         assertThat(zonesOf(fleet)).containsExactly(Sets.ZONE_B, Sets.ZONE_C);
     }
 
     @Test
-    void withEveryZoneOutGroupsAreHeld() {
-        final VirtualFleet fleet = Fleets.of(1, 4);
+    void groupsAreHeldWhenEveryZoneIsOutOfService() {
+        final VirtualFleet fleet = VirtualFleets.of(1, 4);
         fleet.declare(Sets.with(Sets.pool(1, 2)));
         List.of(Sets.ZONE_A, Sets.ZONE_B, Sets.ZONE_C).forEach(zone -> fleet.setZone(zone, ZoneState.OUT));
 
-        Fleets.run(fleet, 1);
+        VirtualFleets.run(fleet, 1);
 
         assertThat(reasons(fleet)).containsExactly(PlacementReason.ZONES_OUT);
     }
 
     @Test
     void fewerReplicasDissolveTheHighestNumbersAndFreeTheirVms() {
-        final VirtualFleet fleet = Fleets.of(1, 4);
+        final VirtualFleet fleet = VirtualFleets.of(1, 4);
         fleet.declare(Sets.with(Sets.pool(4, 2)));
-        Fleets.run(fleet, 30);
+        VirtualFleets.run(fleet, 30);
 
         fleet.declare(Sets.with(Sets.pool(2, 2)));
-        Fleets.run(fleet, 5);
+        VirtualFleets.run(fleet, 5);
 
         assertThat(fleet.state().groups().stream().map(FormedGroup::group))
                 .containsExactly(GroupName.of("guide/1"), GroupName.of("guide/2"));
-        assertThat(fleet.vms().stream().filter(vm -> announcedGroup(fleet, vm.name())))
+        assertThat(fleet.vms().stream().filter(vm -> announcesGroup(fleet, vm.name())))
                 .hasSize(4);
     }
 
     @Test
     void newModelVersionReplacesOneGroupAtATime() {
-        final VirtualFleet fleet = Fleets.of(1, 4);
+        final VirtualFleet fleet = VirtualFleets.of(1, 4);
         fleet.declare(Sets.with(Sets.pool(4, 2)));
-        Fleets.run(fleet, 30);
+        VirtualFleets.run(fleet, 30);
 
         fleet.declare(Sets.with(pool(4, PlacementWeight.GROUP_DOWNTIME, 0, true, 100, true)));
         for (int second = 0; second < 200; second++) {
-            fleet.step(Fleets.SECOND_NANOS);
+            fleet.step(VirtualFleets.SECOND_NANOS);
             assertWithMessage("second %s", second)
                     .that(fleet.servingGroups().size())
                     .isAtLeast(3);
@@ -142,72 +142,72 @@
     }
 
     @Test
-    void loadsAtOnceAreBounded() {
-        final VirtualFleet fleet = Fleets.of(1, 4);
+    void concurrentLoadsAreLimited() {
+        final VirtualFleet fleet = VirtualFleets.of(1, 4);
         fleet.declare(Sets.with(pool(4, PlacementWeight.GROUP_DOWNTIME, 0, true, 1, false)));
 
-        Fleets.run(fleet, 10);
+        VirtualFleets.run(fleet, 10);
 
         assertThat(fleet.state().groups()).hasSize(1);
         assertThat(reasons(fleet)).contains(PlacementReason.LOADS_BOUND);
-        Fleets.run(fleet, 100);
+        VirtualFleets.run(fleet, 100);
         assertThat(fleet.servingGroups()).hasSize(4);
     }
 
     @Test
-    void sparesAreKeptOnlyWhereThePoolWeighsDowntime() {
-        final VirtualFleet keeping = Fleets.of(1, 2);
-        keeping.declare(Sets.with(pool(3, PlacementWeight.GROUP_DOWNTIME, 1, true, 100, false)));
-        final VirtualFleet packing = Fleets.of(1, 2);
-        packing.declare(Sets.with(pool(3, PlacementWeight.STRANDED_ACCELERATORS, 1, true, 100, false)));
+    void sparesAreKeptOnlyForGroupDowntimeObjective() {
+        final VirtualFleet keepingSpares = VirtualFleets.of(1, 2);
+        keepingSpares.declare(Sets.with(pool(3, PlacementWeight.GROUP_DOWNTIME, 1, true, 100, false)));
+        final VirtualFleet packingVms = VirtualFleets.of(1, 2);
+        packingVms.declare(Sets.with(pool(3, PlacementWeight.STRANDED_ACCELERATORS, 1, true, 100, false)));
 
-        Fleets.run(keeping, 30);
-        Fleets.run(packing, 30);
+        VirtualFleets.run(keepingSpares, 30);
+        VirtualFleets.run(packingVms, 30);
 
-        assertThat(keeping.state().groups()).isEmpty();
-        assertThat(reasons(keeping)).containsExactly(PlacementReason.SPARES_KEPT);
-        assertThat(packing.servingGroups()).hasSize(3);
+        assertThat(keepingSpares.state().groups()).isEmpty();
+        assertThat(reasons(keepingSpares)).containsExactly(PlacementReason.SPARES_KEPT);
+        assertThat(packingVms.servingGroups()).hasSize(3);
     }
 
     @Test
     void newLeaderKeepsGroupsOfMembersItHasNotHeardOfYet() {
-        final VirtualFleet fleet = Fleets.of(1, 2);
+        final VirtualFleet fleet = VirtualFleets.of(1, 2);
         fleet.declare(Sets.with(Sets.pool(3, 2)));
-        Fleets.run(fleet, 30);
-        final VirtualVm paused = Fleets.vm(fleet, "zone-a-d1-v1");
+        VirtualFleets.run(fleet, 30);
+        final VirtualVm paused = VirtualFleets.vm(fleet, "zone-a-d1-v1");
 
         fleet.changeLeader();
         paused.stop();
-        Fleets.run(fleet, 2);
+        VirtualFleets.run(fleet, 2);
         paused.resume();
-        Fleets.run(fleet, 5);
+        VirtualFleets.run(fleet, 5);
 
         assertThat(fleet.servingGroups()).hasSize(3);
     }
 
     @Test
-    void newLeaderGivesNoOrderToUncheckedEndpointsWhileOldOnesMayArrive() {
-        final VirtualFleet fleet = Fleets.of(1, 2);
+    void newLeaderHoldsOrdersToEndpointsThatIgnoreFencingTokens() {
+        final VirtualFleet fleet = VirtualFleets.of(1, 2);
         fleet.declare(Sets.with(pool(1, PlacementWeight.GROUP_DOWNTIME, 0, false, 100, false)));
         fleet.changeLeader();
 
-        Fleets.run(fleet, 2);
+        VirtualFleets.run(fleet, 2);
 
         assertThat(reasons(fleet)).containsExactly(PlacementReason.OLD_LEADER_ORDERS);
-        Fleets.run(fleet, 30);
+        VirtualFleets.run(fleet, 30);
         assertThat(fleet.servingGroups()).hasSize(1);
     }
 
     @Test
-    void vmsThatFollowedALostControlStateFollowTheNewOne() {
-        final VirtualFleet before = Fleets.of(1, 2);
+    void vmsFollowNewControlStateAfterOldStateWasLost() {
+        final VirtualFleet before = VirtualFleets.of(1, 2);
         before.declare(Sets.with(Sets.pool(3, 2)));
         before.changeLeader();
-        Fleets.run(before, 30);
+        VirtualFleets.run(before, 30);
 
         final VirtualFleet after = new VirtualFleet(before.vms(), PlacementPlanner::plan);
         after.declare(Sets.with(pool(3, PlacementWeight.GROUP_DOWNTIME, 0, true, 100, true)));
-        Fleets.run(after, 60);
+        VirtualFleets.run(after, 60);
 
         assertThat(after.servingGroups()).hasSize(3);
     }
@@ -235,10 +235,10 @@
                 .collect(ImmutableSet.toImmutableSet());
     }
 
-    private static boolean announcedGroup(VirtualFleet fleet, VmName vm) {
+    private static boolean announcesGroup(VirtualFleet fleet, VmName vm) {
         return fleet.announcements()
                 .live(vm, fleet.nowNanos())
-                .filter(said -> said.group().isPresent())
+                .filter(announcement -> announcement.group().isPresent())
                 .isPresent();
     }
 
--- a/src/test/java/org/wigeongrade/decisions/placement/PlacementProperties.java
+++ b/src/test/java/org/wigeongrade/decisions/placement/PlacementProperties.java
@@ -28,25 +28,25 @@
 import org.wigeongrade.ids.VmIncarnation;
 import org.wigeongrade.ids.VmName;
 
-/** Promises of the control state and the planner under random schedules in virtual time. */
+/** Checks invariants of the control state and the planner under random disturbances in virtual time. */
 final class PlacementProperties {
     private static final int STEPS = 120;
     private static final List<AvailabilityZone> ZONES = List.of(Sets.ZONE_A, Sets.ZONE_B, Sets.ZONE_C);
 
     @Property(tries = 120, seed = "41")
     void noVmIsInTwoGroupsAndNoGroupServesWithAMemberMissing(@ForAll long seed) {
-        final VirtualFleet fleet = Fleets.of(2, 3);
+        final VirtualFleet fleet = VirtualFleets.of(2, 3);
         final Random random = new Random(seed);
         fleet.declare(Sets.with(pool(random)));
         ControlState lagging = ControlState.restore(fleet.state().snapshot());
         for (int step = 0; step < STEPS; step++) {
-            disturb(fleet, random);
-            proposeAgain(fleet, random);
+            disturbAtRandom(fleet, random);
+            proposeCommittedCommandAgain(fleet, random);
             if (random.nextInt(8) == 0) {
                 fleet.proposePlanOf(lagging);
                 lagging = ControlState.restore(fleet.state().snapshot());
             }
-            fleet.step(Fleets.SECOND_NANOS);
+            fleet.step(VirtualFleets.SECOND_NANOS);
             checkMembers(fleet);
             fleet.servingGroups().forEach(group -> checkServing(fleet, group));
         }
@@ -54,18 +54,18 @@
 
     @Property(tries = 20, seed = "42")
     void afterTheLastDisturbanceEveryGroupThatFitsServesAgain(@ForAll long seed) {
-        final VirtualFleet fleet = Fleets.of(2, 3);
+        final VirtualFleet fleet = VirtualFleets.of(2, 3);
         final Random random = new Random(seed);
         fleet.declare(Sets.with(pool(random)));
         for (int step = 0; step < STEPS; step++) {
-            disturb(fleet, random);
-            fleet.step(Fleets.SECOND_NANOS);
+            disturbAtRandom(fleet, random);
+            fleet.step(VirtualFleets.SECOND_NANOS);
         }
         ZONES.forEach(zone -> fleet.setZone(zone, ZoneState.IN));
         fleet.vms().stream().filter(vm -> !vm.isRunning()).forEach(VirtualVm::restart);
         fleet.declare(Sets.with(Sets.pool(6, 2)));
 
-        Fleets.run(fleet, 400);
+        VirtualFleets.run(fleet, 400);
 
         assertThat(fleet.servingGroups()).hasSize(6);
         assertThat(fleet.servingGroups().stream().map(FormedGroup::modelVersion).distinct())
@@ -73,32 +73,32 @@
     }
 
     @Property(tries = 20, seed = "43")
-    void stateRestoredHalfwayEndsAsTheOneThatAppliedAll(@ForAll long seed) {
-        final VirtualFleet fleet = Fleets.of(2, 3);
+    void restoredStateEqualsStateThatAppliedEveryCommand(@ForAll long seed) {
+        final VirtualFleet fleet = VirtualFleets.of(2, 3);
         final Random random = new Random(seed);
         fleet.declare(Sets.with(pool(random)));
         for (int step = 0; step < STEPS; step++) {
-            disturb(fleet, random);
-            fleet.step(Fleets.SECOND_NANOS);
+            disturbAtRandom(fleet, random);
+            fleet.step(VirtualFleets.SECOND_NANOS);
         }
         final List<Command> log = fleet.log();
-        final ControlState whole = new ControlState();
-        ControlState resumed = new ControlState();
-        final int cut = random.nextInt(log.size());
+        final ControlState uninterrupted = new ControlState();
+        ControlState restored = new ControlState();
+        final int restoreIndex = random.nextInt(log.size());
         for (int i = 0; i < log.size(); i++) {
-            if (i == cut) {
-                resumed = ControlState.restore(ControlCodec.decodeSnapshot(ControlCodec.encode(resumed.snapshot())));
+            if (i == restoreIndex) {
+                restored = ControlState.restore(ControlCodec.decodeSnapshot(ControlCodec.encode(restored.snapshot())));
             }
             final Command decoded = ControlCodec.decodeCommand(ControlCodec.encode(log.get(i)));
-            assertThat(resumed.apply(i + 1, decoded)).isEqualTo(whole.apply(i + 1, log.get(i)));
+            assertThat(restored.apply(i + 1, decoded)).isEqualTo(uninterrupted.apply(i + 1, log.get(i)));
         }
 
-        final byte[] expected = ControlCodec.encode(whole.snapshot());
-        assertThat(Arrays.equals(ControlCodec.encode(resumed.snapshot()), expected))
+        final byte[] expected = ControlCodec.encode(uninterrupted.snapshot());
+        assertThat(Arrays.equals(ControlCodec.encode(restored.snapshot()), expected))
                 .isTrue();
     }
 
-    private static void disturb(VirtualFleet fleet, Random random) {
+    private static void disturbAtRandom(VirtualFleet fleet, Random random) {
         final VirtualVm vm = fleet.vms().get(random.nextInt(fleet.vms().size()));
         switch (random.nextInt(16)) {
             case 0 -> vm.stop();
@@ -113,17 +113,20 @@
                         .filter(other -> other.domain().equals(vm.domain()))
                         .forEach(VirtualVm::stop);
             default -> {
-                // Nothing happens in this step.
+                // No disturbance in this step.
             }
         }
     }
 
-    /** Commits a command of the past once more, as after a lost answer: operator intent must stay as it is. */
-    private static void proposeAgain(VirtualFleet fleet, Random random) {
-        final Command again = fleet.log().get(random.nextInt(fleet.log().size()));
+    /**
+     * Commits a command of the log a second time, as happens when the answer to a proposal is lost. The declared set
+     * and the zone states must not change.
+     */
+    private static void proposeCommittedCommandAgain(VirtualFleet fleet, Random random) {
+        final Command committed = fleet.log().get(random.nextInt(fleet.log().size()));
         final DeclaredSet declaredSet = fleet.state().declaredSet();
         final Map<AvailabilityZone, ZoneState> zones = fleet.state().zoneStates();
-        fleet.propose(again);
+        fleet.propose(committed);
         assertThat(fleet.state().declaredSet()).isEqualTo(declaredSet);
         assertThat(fleet.state().zoneStates()).isEqualTo(zones);
     }
@@ -162,6 +165,6 @@
     }
 
     private static VirtualVm vm(VirtualFleet fleet, VmName name) {
-        return Fleets.vm(fleet, name.value());
+        return VirtualFleets.vm(fleet, name.value());
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/placement/Fleets.java
+++ b/src/test/java/org/wigeongrade/decisions/placement/VirtualFleets.java
@@ -9,12 +9,12 @@
 import org.wigeongrade.ids.FabricDomain;
 import org.wigeongrade.ids.VmName;
 
-/** Virtual fleets for tests. Stateless. */
-final class Fleets {
+/** Creates and runs virtual fleets for tests. Stateless. */
+final class VirtualFleets {
     static final long SECOND_NANOS = 1_000_000_000L;
     static final long LOAD_NANOS = 20 * SECOND_NANOS;
 
-    private Fleets() {}
+    private VirtualFleets() {}
 
     /** Returns a fleet of three availability zones with the given fabric domains and VMs in each. */
     static VirtualFleet of(int domainsPerZone, int vmsPerDomain) {
