--- a/src/main/java/org/wigeongrade/decisions/config/MissingValue.java
+++ b/src/main/java/org/wigeongrade/decisions/config/MissingValue.java
@@ -45,7 +45,8 @@
         return faults;
     }
 
-    private void requireValue(ObjectKind kind, Object name, String field, Object value, List<ConfigurationFault> faults) {
+    private void requireValue(
+            ObjectKind kind, Object name, String field, Object value, List<ConfigurationFault> faults) {
         if (value != null) {
             return;
         }
--- a/src/main/java/org/wigeongrade/decisions/config/PlacementWeight.java
+++ b/src/main/java/org/wigeongrade/decisions/config/PlacementWeight.java
@@ -16,8 +16,8 @@
         return Arrays.stream(values())
                 .filter(objective -> objective.label().equals(label))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException(
-                        "'" + label + "' is not a value of weighs; use \"group_downtime\" or \"stranded_accelerators\""));
+                .orElseThrow(() -> new IllegalArgumentException("'" + label
+                        + "' is not a value of weighs; use \"group_downtime\" or \"stranded_accelerators\""));
     }
 
     /** Returns the label used in declared files. */
--- a/src/main/java/org/wigeongrade/decisions/config/UnknownReference.java
+++ b/src/main/java/org/wigeongrade/decisions/config/UnknownReference.java
@@ -24,7 +24,8 @@
         final List<ConfigurationFault> faults = new ArrayList<>();
         for (final PoolDeclaration pool : set.pools()) {
             final ObjectId id = ObjectId.of(ObjectKind.POOL, pool.name());
-            requireDeclared(declared, id, "model_version", ObjectId.of(ObjectKind.MODEL_VERSION, pool.modelVersion()), faults);
+            requireDeclared(
+                    declared, id, "model_version", ObjectId.of(ObjectKind.MODEL_VERSION, pool.modelVersion()), faults);
             requireZonesDeclared(declared, id, pool.zones(), faults);
         }
         for (final GroupDeclaration group : set.groups()) {
--- a/src/main/java/org/wigeongrade/decisions/placement/DissolvePlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/DissolvePlanner.java
@@ -31,7 +31,9 @@
     static List<PlacementAction> plan(PlacementView view, Set<PoolName> formingPools, FencingTokenIssuer tokens) {
         final List<PlacementAction> actions = new ArrayList<>();
         final Set<PoolName> changingPools = new HashSet<>(formingPools);
-        view.input().groups().stream().filter(group -> !view.isLoaded(group)).forEach(group -> changingPools.add(group.pool()));
+        view.input().groups().stream()
+                .filter(group -> !view.isLoaded(group))
+                .forEach(group -> changingPools.add(group.pool()));
         for (final FormedGroup group : view.input().groups()) {
             final Optional<Finding> finding = firstFinding(group, view);
             if (finding.isEmpty()) {
--- a/src/main/java/org/wigeongrade/decisions/placement/FormationPlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/FormationPlanner.java
@@ -26,7 +26,11 @@
     }
 
     private static void planPool(
-            PlacementView view, PoolDeclaration pool, FreeVms free, FencingTokenIssuer tokens, List<PlacementAction> actions) {
+            PlacementView view,
+            PoolDeclaration pool,
+            FreeVms free,
+            FencingTokenIssuer tokens,
+            List<PlacementAction> actions) {
         final DomainChooser chooser = new DomainChooser(view, free, pool);
         long remainingLoads = pool.maxLoads() - countLoading(view, pool);
         for (final DeclaredGroup group : groupsToForm(view, pool)) {
--- a/src/main/java/org/wigeongrade/decisions/placement/FreeVms.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/FreeVms.java
@@ -20,8 +20,9 @@
     private final TreeMap<DomainKey, List<Announcement>> byDomain = new TreeMap<>();
 
     FreeVms(List<Announcement> freeAnnouncements) {
-        freeAnnouncements.forEach(announcement -> byDomain.computeIfAbsent(DomainKey.of(announcement), key -> new ArrayList<>())
-                .add(announcement));
+        freeAnnouncements.forEach(
+                announcement -> byDomain.computeIfAbsent(DomainKey.of(announcement), key -> new ArrayList<>())
+                        .add(announcement));
     }
 
     Set<DomainKey> domains() {
@@ -61,8 +62,10 @@
         final List<Announcement> freeInDomain = byDomain.get(domain);
         final List<Announcement> taken = freeInDomain.stream()
                 .sorted(Comparator.comparing((Announcement announcement) -> !announces(announcement, group))
-                        .thenComparing(announcement ->
-                                !announcement.modelVersion().filter(version::equals).isPresent())
+                        .thenComparing(announcement -> !announcement
+                                .modelVersion()
+                                .filter(version::equals)
+                                .isPresent())
                         .thenComparing(announcement -> announcement.vm().vm()))
                 .limit(count)
                 .collect(ImmutableList.toImmutableList());
--- a/src/main/java/org/wigeongrade/decisions/placement/Order.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/Order.java
@@ -11,8 +11,7 @@
 /**
  * An order to one engine VM; sending it again has no further effect. {@code address} is {@code ip:port}. {@code
  * members} are in rank order. {@code weights} is the key in the weight store. Members, model version and weights are
- * set only for JOIN. Immutable; safe for use from
- * any thread.
+ * set only for JOIN. Immutable; safe for use from any thread.
  */
 public record Order(
         OrderKind kind,
--- a/src/main/java/org/wigeongrade/decisions/placement/OrderPlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/OrderPlanner.java
@@ -51,7 +51,8 @@
     }
 
     private static void planLeave(PlacementView view, Announcement announcement, List<PlacementAction> actions) {
-        if (announcement.group().isEmpty() || view.groupOf(announcement.vm().vm()).isPresent()) {
+        if (announcement.group().isEmpty()
+                || view.groupOf(announcement.vm().vm()).isPresent()) {
             return;
         }
         final GroupName group = announcement.group().get();
--- a/src/main/java/org/wigeongrade/decisions/placement/PlacementView.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/PlacementView.java
@@ -31,7 +31,8 @@
 
     PlacementView(PlacementInput input) {
         this.input = input;
-        this.liveAnnouncement = Maps.uniqueIndex(input.announcements(), announcement -> announcement.vm().vm());
+        this.liveAnnouncement = Maps.uniqueIndex(
+                input.announcements(), announcement -> announcement.vm().vm());
         this.formed = Maps.uniqueIndex(input.groups(), FormedGroup::group);
         this.groupOfVm = groupsOfVms(input.groups());
         this.declaredOfPool = declaredGroups(input);
@@ -75,7 +76,8 @@
 
     /** Returns the live announcement of this incarnation; empty if the VM announces none or another incarnation. */
     Optional<Announcement> liveAnnouncement(VmIncarnation member) {
-        return liveAnnouncement(member.vm()).filter(announcement -> announcement.vm().equals(member));
+        return liveAnnouncement(member.vm())
+                .filter(announcement -> announcement.vm().equals(member));
     }
 
     Optional<FormedGroup> groupOf(VmName vm) {
--- a/src/test/java/org/wigeongrade/decisions/config/ConfigurationRulesTest.java
+++ b/src/test/java/org/wigeongrade/decisions/config/ConfigurationRulesTest.java
@@ -85,7 +85,9 @@
                 Arguments.of("cold capacity equal to capacity", Sets.with(pool(2, 2, 8, 8))),
                 Arguments.of("group named with the number after the last replica", group("guide/3", "guide", ZONE_A)),
                 Arguments.of("group name with a letter before the number", group("guide/a2", "guide", ZONE_A)),
-                Arguments.of("warm spares of a pool that keeps them", Sets.with(pool(2, 2, 8, 2, PlacementWeight.GROUP_DOWNTIME, 1, ZONE_A))),
+                Arguments.of(
+                        "warm spares of a pool that keeps them",
+                        Sets.with(pool(2, 2, 8, 2, PlacementWeight.GROUP_DOWNTIME, 1, ZONE_A))),
                 Arguments.of("two pools of one version", twoPools(GUIDE_1)),
                 Arguments.of("pool switched to another declared version", Sets.with(version("guide-2"))));
     }
