--- a/src/main/java/org/wigeongrade/bench/ControlStateBench.java
+++ b/src/main/java/org/wigeongrade/bench/ControlStateBench.java
@@ -19,13 +19,13 @@
 import org.wigeongrade.ids.RequestId;
 
 /**
- * Measures how the control state and the planner grow with the number of groups and claims, and prints one JSON line.
- * Not thread safe.
+ * Measures how the cost of the control state and of the planner grows with the number of groups and claims, and prints
+ * one JSON line. Not thread-safe.
  */
 public final class ControlStateBench {
     private static final int WARM_UP_ROUNDS = 50;
     private static final int ROUNDS = 100;
-    private static final int ANSWER_BYTES = 500;
+    private static final int RESPONSE_BYTES = 500;
     private static final double NANOS_PER_MICRO = 1_000;
 
     @Option(name = "--groups", usage = "number of groups, at most 600")
@@ -36,8 +36,8 @@
 
     private ControlStateBench() {}
 
-    /** Figures of one run; times are means in microseconds of processor time on one thread. */
-    public record Figures(
+    /** Result of one run; times are means in microseconds of processor time on one thread. */
+    public record Result(
             int groups,
             int vms,
             int claims,
@@ -46,22 +46,22 @@
             double planMicros,
             double claimMicros) {}
 
-    /** Runs the experiment and prints its figures. */
+    /** Runs the benchmark and prints its result. */
     public static void main(String[] args) throws CmdLineException, JsonProcessingException {
         final ControlStateBench bench = new ControlStateBench();
         new CmdLineParser(bench).parseArgument(args);
         System.out.println(new ObjectMapper().writeValueAsString(bench.run()));
     }
 
-    private Figures run() {
-        final VirtualFleet fleet = PlacementRun.formed(groups);
-        final double claimMicros = claim(fleet.state());
+    private Result run() {
+        final VirtualFleet fleet = PlacementRun.formedFleet(groups);
+        final double claimMicros = claimAndFinish(fleet.state());
         final PlacementInput input = PlacementInput.of(
                 fleet.state(), fleet.announcements(), 1, fleet.nowNanos(), fleet.nowNanos() / 1_000_000, 0, 0);
         final double planMicros = meanMicros(() -> PlacementPlanner.plan(input).size());
         final double snapshotMicros =
                 meanMicros(() -> ControlCodec.encode(fleet.state().snapshot()).length);
-        return new Figures(
+        return new Result(
                 fleet.state().groups().size(),
                 fleet.vms().size(),
                 claims,
@@ -71,12 +71,14 @@
                 claimMicros);
     }
 
-    /** Claims and finishes every request and returns the mean time for both commands with their codec. */
-    private double claim(ControlState state) {
+    /**
+     * Claims and finishes each request; returns the mean time for both commands, including their encoding and decoding.
+     */
+    private double claimAndFinish(ControlState state) {
         final List<byte[]> commands = new ArrayList<>();
         for (int i = 0; i < claims; i++) {
-            commands.add(ControlCodec.encode(claimOf(i)));
-            commands.add(ControlCodec.encode(finishOf(i)));
+            commands.add(ControlCodec.encode(claimCommand(i)));
+            commands.add(ControlCodec.encode(finishCommand(i)));
         }
         final long startNanos = System.nanoTime();
         long index = state.appliedIndex();
@@ -87,7 +89,7 @@
         return claims == 0 ? 0 : (System.nanoTime() - startNanos) / NANOS_PER_MICRO / claims;
     }
 
-    private static Command claimOf(int number) {
+    private static Command claimCommand(int number) {
         return new Command.ClaimRequest(
                 OrganisationName.of("organisation-" + number % 10),
                 "key-" + number,
@@ -98,34 +100,34 @@
                 1);
     }
 
-    private static Command finishOf(int number) {
+    private static Command finishCommand(int number) {
         return new Command.FinishClaim(
                 OrganisationName.of("organisation-" + number % 10),
                 "key-" + number,
                 RequestId.of("request-" + number),
                 RunClaim.COMPLETED,
-                new StoredAnswer(200, "application/json", new byte[ANSWER_BYTES]),
+                new StoredAnswer(200, "application/json", new byte[RESPONSE_BYTES]),
                 2);
     }
 
-    /** Work that is measured. */
-    private interface Work {
-        /** Does the work once and returns its size. */
+    /** An operation whose time is measured. */
+    private interface MeasuredOperation {
+        /** Runs the operation once and returns the size of its result. */
         int run();
     }
 
-    private static double meanMicros(Work work) {
-        long size = 0;
+    private static double meanMicros(MeasuredOperation operation) {
+        long totalSize = 0;
         for (int round = 0; round < WARM_UP_ROUNDS; round++) {
-            size += work.run();
+            totalSize += operation.run();
         }
         final long startNanos = System.nanoTime();
         for (int round = 0; round < ROUNDS; round++) {
-            size += work.run();
+            totalSize += operation.run();
         }
         final long elapsedNanos = System.nanoTime() - startNanos;
-        if (size < 0) {
-            throw new IllegalStateException("the work has no size");
+        if (totalSize < 0) {
+            throw new IllegalStateException("the total size of the results is negative");
         }
         return elapsedNanos / NANOS_PER_MICRO / ROUNDS;
     }
--- a/src/main/java/org/wigeongrade/bench/FailureSchedule.java
+++ b/src/main/java/org/wigeongrade/bench/FailureSchedule.java
@@ -5,37 +5,37 @@
 import java.util.List;
 import java.util.Random;
 
-/** VM failures in the order of their times. Immutable; safe for use from any thread. */
+/** VM failures ordered by start time. Immutable; safe for use from any thread. */
 public record FailureSchedule(List<Failure> failures) {
-    private static final double MEAN_GAP_SECONDS = 300;
+    private static final double MEAN_INTERVAL_SECONDS = 300;
     private static final double MEAN_RESTART_SECONDS = 600;
-    private static final int SHORTEST_PAUSE_SECONDS = 4;
+    private static final int MIN_PAUSE_SECONDS = 4;
     private static final int PAUSE_RANGE_SECONDS = 20;
-    private static final int PAUSES_IN_TEN = 3;
-    private static final int FAILURES_FOR_ONE_DOMAIN = 40;
+    private static final int PAUSES_PER_TEN_FAILURES = 3;
+    private static final int FAILURES_PER_DOMAIN_RESTART = 40;
 
     public FailureSchedule {
         failures = failures.stream()
-                .sorted(Comparator.comparingLong(Failure::atSeconds).thenComparingInt(Failure::vm))
+                .sorted(Comparator.comparingLong(Failure::startSeconds).thenComparingInt(Failure::vmIndex))
                 .toList();
     }
 
     /** Kinds of failure. Immutable; safe for use from any thread. */
     public enum Kind {
-        /** The VM is silent and goes on as the same process. */
+        /** The VM stops responding for a while and then continues as the same process. */
         PAUSE,
-        /** The VM comes back as a new process. */
+        /** The VM restarts as a new process. */
         RESTART,
-        /** Every VM of the fabric domain comes back as a new process. */
+        /** Every VM of the fabric domain restarts as a new process. */
         DOMAIN_RESTART;
 
-        /** Returns whether the failure hits every VM of the fabric domain. */
-        boolean hitsDomain() {
+        /** Returns whether the failure affects every VM of the fabric domain. */
+        boolean affectsWholeDomain() {
             return this == DOMAIN_RESTART;
         }
 
-        /** Brings a VM back. */
-        void end(VirtualVm vm) {
+        /** Ends the failure of a VM: resumes the VM after a pause, otherwise restarts it. */
+        void recover(VirtualVm vm) {
             if (this == PAUSE) {
                 vm.resume();
             } else {
@@ -44,41 +44,44 @@
         }
     }
 
-    /** One failure of the VM with that number, from {@code atSeconds} until {@code endSeconds}. */
-    public record Failure(Kind kind, int vm, long atSeconds, long endSeconds) {}
+    /** One failure, from {@code startSeconds} until {@code endSeconds}, of the VM at index {@code vmIndex}. */
+    public record Failure(Kind kind, int vmIndex, long startSeconds, long endSeconds) {}
 
-    /** Returns a schedule that depends on the seed alone. */
-    public static FailureSchedule random(long seed, int count, int vms) {
+    /**
+     * Returns a schedule determined by the arguments alone: the same seed, count and number of VMs give the same
+     * schedule.
+     */
+    public static FailureSchedule random(long seed, int count, int vmCount) {
         final Random random = new Random(seed);
         final List<Failure> failures = new ArrayList<>();
-        double atSeconds = PlacementRun.WARM_UP_SECONDS;
+        double startSeconds = PlacementRun.WARM_UP_SECONDS;
         for (int i = 1; i <= count; i++) {
-            atSeconds += exponential(random, MEAN_GAP_SECONDS);
-            failures.add(failure(kind(random, i), random, (long) atSeconds, random.nextInt(vms)));
+            startSeconds += exponential(random, MEAN_INTERVAL_SECONDS);
+            failures.add(randomFailure(randomKind(random, i), random, (long) startSeconds, random.nextInt(vmCount)));
         }
         return new FailureSchedule(failures);
     }
 
-    private static Kind kind(Random random, int number) {
-        final boolean pause = random.nextInt(10) < PAUSES_IN_TEN;
-        if (number % FAILURES_FOR_ONE_DOMAIN == 0) {
+    private static Kind randomKind(Random random, int number) {
+        final boolean pause = random.nextInt(10) < PAUSES_PER_TEN_FAILURES;
+        if (number % FAILURES_PER_DOMAIN_RESTART == 0) {
             return Kind.DOMAIN_RESTART;
         }
         return pause ? Kind.PAUSE : Kind.RESTART;
     }
 
-    private static Failure failure(Kind kind, Random random, long atSeconds, int vm) {
-        final long pauseSeconds = (long) SHORTEST_PAUSE_SECONDS + random.nextInt(PAUSE_RANGE_SECONDS);
+    private static Failure randomFailure(Kind kind, Random random, long startSeconds, int vmIndex) {
+        final long pauseSeconds = (long) MIN_PAUSE_SECONDS + random.nextInt(PAUSE_RANGE_SECONDS);
         final long restartSeconds = 1 + (long) exponential(random, MEAN_RESTART_SECONDS);
-        final long lengthSeconds = kind == Kind.PAUSE ? pauseSeconds : restartSeconds;
-        return new Failure(kind, vm, atSeconds, atSeconds + lengthSeconds);
+        final long durationSeconds = kind == Kind.PAUSE ? pauseSeconds : restartSeconds;
+        return new Failure(kind, vmIndex, startSeconds, startSeconds + durationSeconds);
     }
 
     private static double exponential(Random random, double mean) {
         return -mean * Math.log(1 - random.nextDouble());
     }
 
-    /** Returns when the last failure has ended. */
+    /** Returns the time at which the last failure ends. */
     public long endSeconds() {
         return failures.stream().mapToLong(Failure::endSeconds).max().orElse(0);
     }
--- a/src/main/java/org/wigeongrade/bench/FairnessMechanism.java
+++ b/src/main/java/org/wigeongrade/bench/FairnessMechanism.java
@@ -1,14 +1,17 @@
 package org.wigeongrade.bench;
 
-/** What bounds a greedy organisation in {@link FairnessSimulation}. */
+/** How {@link FairnessSimulation} limits a greedy organisation. */
 public enum FairnessMechanism {
-    /** No limits at all. */
+    /** No limits. */
     NONE,
-    /** Each organisation may have as many requests in flight as there are slots. */
+    /** Each organisation may have as many requests in flight as there are slots in total, so the limits overlap. */
     LIMITS_THAT_OVERLAP,
-    /** The limits of all organisations sum to the slots. */
+    /**
+     * The greedy organisation may have requests in flight for at most 80 % of the slots, so that the limits leave room
+     * for the small organisations.
+     */
     LIMITS_THAT_FIT,
-    /** Limits that overlap, and an equal part while slots are nearly used up. */
+    /** Overlapping limits, and an equal share for each organisation while the slots are nearly used up. */
     LIMITS_AND_FAIR_PART;
 
     boolean hasLimits() {
@@ -19,7 +22,7 @@
         return this == LIMITS_THAT_FIT && greedy ? slots * 8 / 10 : slots;
     }
 
-    boolean hasFairPart() {
+    boolean hasFairShareLimit() {
         return this == LIMITS_AND_FAIR_PART;
     }
 }
--- a/src/main/java/org/wigeongrade/bench/FairnessResult.java
+++ b/src/main/java/org/wigeongrade/bench/FairnessResult.java
@@ -1,6 +1,10 @@
 package org.wigeongrade.bench;
 
-/** Figures of one run of {@link FairnessSimulation}: requests served at their first asking. Immutable. */
+/**
+ * Result of one run of {@link FairnessSimulation}. {@code smallServed} and {@code greedyServed} are the ratios of
+ * offered requests that were served at the first attempt; {@code slotsInUse} is the ratio of slots that were in use on
+ * average. Immutable.
+ */
 public record FairnessResult(
         String mechanism,
         long smallOffered,
--- a/src/main/java/org/wigeongrade/bench/FairnessSimulation.java
+++ b/src/main/java/org/wigeongrade/bench/FairnessSimulation.java
@@ -24,7 +24,10 @@
 import org.wigeongrade.ids.NodeName;
 import org.wigeongrade.ids.OrganisationName;
 
-/** A greedy organisation beside four small ones, over entry VMs with real shares, in virtual time. Not thread-safe. */
+/**
+ * Simulates one greedy and four small organisations on entry VMs that use the real share mechanism, in virtual time.
+ * Not thread-safe.
+ */
 final class FairnessSimulation {
     private static final int ENTRY_VMS = 7;
     private static final int SLOTS = 200;
@@ -41,20 +44,20 @@
     private final FairnessMechanism mechanism;
     private final RandomGenerator random;
     private final VirtualTime time = new VirtualTime();
-    private final ShareLedger ledger = new ShareLedger(LEASE_NANOS, -2 * LONGEST_RUN_NANOS);
-    private final List<Entry> entries = new ArrayList<>();
+    private final ShareLedger allocator = new ShareLedger(LEASE_NANOS, -2 * LONGEST_RUN_NANOS);
+    private final List<EntryVm> entryVms = new ArrayList<>();
     private final List<OrganisationName> organisations = new ArrayList<>();
     private final Map<OrganisationName, Long> offered = new HashMap<>();
     private final Map<OrganisationName, Long> served = new HashMap<>();
-    private double busyNanos;
+    private double busySlotNanos;
 
-    private static final class Entry {
+    private static final class EntryVm {
         private final NodeName name;
         private final ShareHolder shares = new ShareHolder();
         private final OrganisationAdmission admission = new OrganisationAdmission(shares);
         private final Map<OrganisationName, Integer> inFlight = new HashMap<>();
 
-        Entry(NodeName name) {
+        EntryVm(NodeName name) {
             this.name = name;
         }
     }
@@ -67,94 +70,95 @@
             organisations.add(OrganisationName.of("small-" + i));
         }
         for (int i = 0; i < ENTRY_VMS; i++) {
-            entries.add(new Entry(NodeName.of("entry-" + i)));
+            entryVms.add(new EntryVm(NodeName.of("entry-" + i)));
         }
-        ledger.setBound(ENDPOINT, ShareBound.of(SLOTS, LONGEST_RUN_NANOS), Warmth.WARM);
+        allocator.setBound(ENDPOINT, ShareBound.of(SLOTS, LONGEST_RUN_NANOS), Warmth.WARM);
         for (OrganisationName organisation : organisations) {
             int limit = mechanism.inFlightLimit(SLOTS, organisation.equals(GREEDY));
-            ledger.setBound(ShareKey.inFlight(organisation), ShareBound.of(limit, LONGEST_RUN_NANOS), Warmth.WARM);
+            allocator.setBound(ShareKey.inFlight(organisation), ShareBound.of(limit, LONGEST_RUN_NANOS), Warmth.WARM);
         }
     }
 
     FairnessResult run(int virtualSeconds) {
-        entries.forEach(this::reportLater);
-        organisations.forEach(this::arriveLater);
+        entryVms.forEach(this::scheduleReport);
+        organisations.forEach(this::scheduleArrival);
         time.runUntil(TimeUnit.SECONDS.toNanos(virtualSeconds));
         long smallOffered = offered.values().stream().mapToLong(Long::longValue).sum() - offered.get(GREEDY);
         long smallServed = served.values().stream().mapToLong(Long::longValue).sum() - served.get(GREEDY);
         return new FairnessResult(
                 mechanism.name().toLowerCase(Locale.ROOT),
                 smallOffered,
-                part((double) smallServed, (double) smallOffered),
+                ratio((double) smallServed, (double) smallOffered),
                 offered.get(GREEDY),
-                part((double) served.get(GREEDY), (double) offered.get(GREEDY)),
-                part(busyNanos, (double) SLOTS * time.nowNanos()));
+                ratio((double) served.get(GREEDY), (double) offered.get(GREEDY)),
+                ratio(busySlotNanos, (double) SLOTS * time.nowNanos()));
     }
 
-    private static double part(double some, double all) {
-        return Math.round(some / all * 1_000) / 1_000.0;
+    private static double ratio(double numerator, double denominator) {
+        return Math.round(numerator / denominator * 1_000) / 1_000.0;
     }
 
-    private void reportLater(Entry entry) {
+    private void scheduleReport(EntryVm entryVm) {
         time.after(1 + random.nextLong(2 * REPORT_NANOS), () -> {
-            report(entry, ENDPOINT);
-            organisations.forEach(organisation -> report(entry, ShareKey.inFlight(organisation)));
-            reportLater(entry);
+            report(entryVm, ENDPOINT);
+            organisations.forEach(organisation -> report(entryVm, ShareKey.inFlight(organisation)));
+            scheduleReport(entryVm);
         });
     }
 
-    private void report(Entry entry, ShareKey key) {
+    private void report(EntryVm entryVm, ShareKey key) {
         long nowNanos = time.nowNanos();
-        ShareReport report = entry.shares.report(key, nowNanos);
-        ledger.report(entry.name, 1, report, nowNanos)
-                .ifPresent(grant -> entry.shares.applyGrant(grant, grant.deadlineNanos(nowNanos)));
+        ShareReport report = entryVm.shares.report(key, nowNanos);
+        allocator
+                .report(entryVm.name, 1, report, nowNanos)
+                .ifPresent(grant -> entryVm.shares.applyGrant(grant, grant.deadlineNanos(nowNanos)));
     }
 
-    private void arriveLater(OrganisationName organisation) {
+    private void scheduleArrival(OrganisationName organisation) {
         double load = organisation.equals(GREEDY) ? GREEDY_LOAD : SMALL_LOAD;
         long delayNanos = (long) (-Math.log(1 - random.nextDouble()) * MEAN_RUN_NANOS / (load * SLOTS));
         time.after(delayNanos, () -> {
             offered.merge(organisation, 1L, Long::sum);
-            arrive(entries.get(random.nextInt(entries.size())), organisation);
-            arriveLater(organisation);
+            handleRequest(entryVms.get(random.nextInt(entryVms.size())), organisation);
+            scheduleArrival(organisation);
         });
     }
 
-    private void arrive(Entry entry, OrganisationName organisation) {
+    private void handleRequest(EntryVm entryVm, OrganisationName organisation) {
         long nowNanos = time.nowNanos();
-        if (mechanism.hasFairPart() && isOverFairPart(entry, organisation, nowNanos)) {
+        if (mechanism.hasFairShareLimit() && exceedsFairShare(entryVm, organisation, nowNanos)) {
             return;
         }
         AdmissionRequest request = new AdmissionRequest(organisation, mechanism.hasLimits() ? 1 : 0, 0, 0, 0);
-        AdmissionDecision decision = entry.admission.admit(request, nowNanos);
+        AdmissionDecision decision = entryVm.admission.admit(request, nowNanos);
         if (!(decision instanceof AdmissionDecision.Admitted admitted)) {
             return;
         }
-        Optional<Slot> slot = entry.shares.tryAcquire(ENDPOINT, nowNanos);
+        Optional<Slot> slot = entryVm.shares.tryAcquire(ENDPOINT, nowNanos);
         if (slot.isEmpty()) {
-            entry.admission.finish(admitted, 0);
+            entryVm.admission.finish(admitted, 0);
             return;
         }
-        serve(entry, organisation, admitted, slot.get());
+        serve(entryVm, organisation, admitted, slot.get());
     }
 
-    private static boolean isOverFairPart(Entry entry, OrganisationName organisation, long nowNanos) {
+    private static boolean exceedsFairShare(EntryVm entryVm, OrganisationName organisation, long nowNanos) {
         return FairPart.isExceeded(
-                entry.inFlight.getOrDefault(organisation, 0),
+                entryVm.inFlight.getOrDefault(organisation, 0),
                 SMALL_ORGANISATIONS + 1,
-                entry.shares.inUse(ENDPOINT),
-                entry.shares.grantedSlots(ENDPOINT, nowNanos));
+                entryVm.shares.inUse(ENDPOINT),
+                entryVm.shares.grantedSlots(ENDPOINT, nowNanos));
     }
 
-    private void serve(Entry entry, OrganisationName organisation, AdmissionDecision.Admitted admitted, Slot slot) {
+    private void serve(EntryVm entryVm, OrganisationName organisation, AdmissionDecision.Admitted admitted, Slot slot) {
         served.merge(organisation, 1L, Long::sum);
-        entry.inFlight.merge(organisation, 1, Integer::sum);
+        entryVm.inFlight.merge(organisation, 1, Integer::sum);
         long runNanos = (long) (-Math.log(1 - random.nextDouble()) * MEAN_RUN_NANOS);
-        busyNanos += runNanos;
+        busySlotNanos += runNanos;
         time.after(runNanos, () -> {
-            entry.shares.release(slot);
-            entry.admission.finish(admitted, 0);
-            entry.inFlight.merge(organisation, -1, Integer::sum);
+            entryVm.shares.release(slot);
+            entryVm.admission.finish(admitted, 0);
+            entryVm.inFlight.merge(organisation, -1, Integer::sum);
         });
     }
 }
--- a/src/main/java/org/wigeongrade/bench/FirstFitPlanner.java
+++ b/src/main/java/org/wigeongrade/bench/FirstFitPlanner.java
@@ -20,18 +20,18 @@
 
 /**
  * The baseline of the placement experiment: forms each group in the first fabric domain with enough free VMs, keeps no
- * spares and does not prefer the members that are left. Dissolves and orders are the planner's own. Stateless; safe for
- * use from any thread.
+ * spares and does not prefer the surviving members of a lost group. Dissolves groups and sends orders as {@link
+ * PlacementPlanner} does. Stateless; safe for use from any thread.
  */
 final class FirstFitPlanner {
     private FirstFitPlanner() {}
 
     static List<PlacementAction> plan(PlacementInput input) {
-        final Map<FabricDomain, List<Announcement>> free = free(input);
+        final Map<FabricDomain, List<Announcement>> freeVms = freeVmsByDomain(input);
         final List<PlacementAction> actions = new ArrayList<>();
         for (final PlacementAction action : PlacementPlanner.plan(input)) {
             if (action instanceof PlacementAction.FormGroup form) {
-                refit(form, free).ifPresent(actions::add);
+                moveToFirstFit(form, freeVms).ifPresent(actions::add);
             } else {
                 actions.add(action);
             }
@@ -39,31 +39,31 @@
         return actions;
     }
 
-    private static Map<FabricDomain, List<Announcement>> free(PlacementInput input) {
-        final Set<VmName> taken = new HashSet<>();
+    private static Map<FabricDomain, List<Announcement>> freeVmsByDomain(PlacementInput input) {
+        final Set<VmName> assignedVms = new HashSet<>();
         for (final FormedGroup group : input.groups()) {
-            group.members().forEach(member -> taken.add(member.vm()));
+            group.members().forEach(member -> assignedVms.add(member.vm()));
         }
         return input.announcements().stream()
-                .filter(said -> !taken.contains(said.vm().vm()))
+                .filter(announcement -> !assignedVms.contains(announcement.vm().vm()))
                 .collect(Collectors.groupingBy(Announcement::fabricDomain, TreeMap::new, Collectors.toList()));
     }
 
-    private static Optional<PlacementAction> refit(
-            PlacementAction.FormGroup form, Map<FabricDomain, List<Announcement>> free) {
+    private static Optional<PlacementAction> moveToFirstFit(
+            PlacementAction.FormGroup form, Map<FabricDomain, List<Announcement>> freeVms) {
         final Command.FormGroup command = form.command();
-        final int count = command.members().size();
-        return free.values().stream()
-                .filter(vms -> vms.size() >= count)
+        final int memberCount = command.members().size();
+        return freeVms.values().stream()
+                .filter(vms -> vms.size() >= memberCount)
                 .findFirst()
                 .map(vms -> {
-                    final List<Announcement> members = List.copyOf(vms.subList(0, count));
+                    final List<Announcement> members = List.copyOf(vms.subList(0, memberCount));
                     vms.removeAll(members);
-                    return new PlacementAction.FormGroup(formOf(command, members), form.reason());
+                    return new PlacementAction.FormGroup(withMembers(command, members), form.reason());
                 });
     }
 
-    private static Command.FormGroup formOf(Command.FormGroup command, List<Announcement> members) {
+    private static Command.FormGroup withMembers(Command.FormGroup command, List<Announcement> members) {
         final List<VmIncarnation> vms = members.stream().map(Announcement::vm).toList();
         return new Command.FormGroup(
                 command.group(),
--- a/src/main/java/org/wigeongrade/bench/CuttableTransport.java
+++ b/src/main/java/org/wigeongrade/bench/IsolatableTransport.java
@@ -10,27 +10,27 @@
 import org.wigeongrade.nodes.log.PeerDirectory;
 import org.wigeongrade.nodes.log.ThriftLogTransport;
 
-/** A Thrift transport that can drop everything in silence, and counts what it sends. Thread safe. */
-final class CuttableTransport implements LogTransport {
+/** A Thrift transport that can silently drop all messages and that counts the messages it sends. Thread-safe. */
+final class IsolatableTransport implements LogTransport {
     private final ThriftLogTransport transport;
     private final AtomicLong sentMessages = new AtomicLong();
     private volatile BiConsumer<NodeName, LogMessage> receiver = (from, message) -> {};
-    private volatile boolean cut;
+    private volatile boolean isolated;
 
-    CuttableTransport(NodeName self, InetSocketAddress listenAddress, Map<NodeName, InetSocketAddress> peers) {
+    IsolatableTransport(NodeName self, InetSocketAddress listenAddress, Map<NodeName, InetSocketAddress> peers) {
         this.transport = ThriftLogTransport.start(self, listenAddress, PeerDirectory.of(peers), this::receive);
     }
 
-    void connect(BiConsumer<NodeName, LogMessage> target) {
-        receiver = target;
+    void setReceiver(BiConsumer<NodeName, LogMessage> newReceiver) {
+        receiver = newReceiver;
     }
 
-    void cutOff(boolean now) {
-        cut = now;
+    void setIsolated(boolean newValue) {
+        isolated = newValue;
     }
 
-    boolean isCutOff() {
-        return cut;
+    boolean isIsolated() {
+        return isolated;
     }
 
     long sentMessages() {
@@ -39,14 +39,14 @@
 
     @Override
     public void send(NodeName peer, LogMessage message) {
-        if (!cut) {
+        if (!isolated) {
             sentMessages.incrementAndGet();
             transport.send(peer, message);
         }
     }
 
     private void receive(NodeName from, LogMessage message) {
-        if (!cut) {
+        if (!isolated) {
             receiver.accept(from, message);
         }
     }
--- a/src/main/java/org/wigeongrade/bench/LatencyPlot.java
+++ b/src/main/java/org/wigeongrade/bench/LatencyPlot.java
@@ -5,8 +5,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Plots latency by percentile as SVG: one line for each run, percentiles on a scale of nines, latency on a logarithmic
- * scale. Stateless; safe for use from any thread.
+ * Plots latency by percentile as SVG, with one line for each run. The percentile axis is spaced by nines (90, 99,
+ * 99.9); the latency axis is logarithmic. Stateless; safe for use from any thread.
  */
 final class LatencyPlot {
     private static final int WIDTH = 640;
@@ -17,9 +17,9 @@
 
     private LatencyPlot() {}
 
-    /** Returns the plot of the runs' latencies. */
+    /** Returns an SVG plot of the latencies of the runs, by run name. */
     static String svg(Map<String, LoadResult> runs) {
-        double highest = runs.values().stream()
+        double maxMicros = runs.values().stream()
                 .mapToDouble(run -> Math.max(1, run.latencyMicros().getMaxValue()))
                 .max()
                 .orElse(1);
@@ -30,16 +30,16 @@
                         + " font-size=\"11\">%n<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>%n",
                 WIDTH,
                 HEIGHT));
-        appendAxes(svg, highest);
-        int number = 0;
+        appendAxes(svg, maxMicros);
+        int index = 0;
         for (Map.Entry<String, LoadResult> run : runs.entrySet()) {
-            appendLine(svg, number, run.getKey(), run.getValue().latencyMicros(), highest);
-            number++;
+            appendLine(svg, index, run.getKey(), run.getValue().latencyMicros(), maxMicros);
+            index++;
         }
         return svg.append("</svg>\n").toString();
     }
 
-    private static void appendAxes(StringBuilder svg, double highest) {
+    private static void appendAxes(StringBuilder svg, double maxMicros) {
         for (double percentile : PERCENTILES) {
             svg.append(String.format(
                     Locale.ROOT,
@@ -48,32 +48,32 @@
                     HEIGHT - MARGIN + 18,
                     percentile));
         }
-        for (double micros = 1; micros <= highest * 10; micros *= 10) {
+        for (double micros = 1; micros <= maxMicros * 10; micros *= 10) {
             svg.append(String.format(
                     Locale.ROOT,
                     "<line x1=\"%d\" x2=\"%d\" y1=\"%.1f\" y2=\"%.1f\" stroke=\"#ddd\"/>%n"
                             + "<text x=\"4\" y=\"%.1f\">%s ms</text>%n",
                     MARGIN,
                     WIDTH - MARGIN,
-                    y(micros, highest),
-                    y(micros, highest),
-                    y(micros, highest) + 4,
+                    y(micros, maxMicros),
+                    y(micros, maxMicros),
+                    y(micros, maxMicros) + 4,
                     micros / 1e3));
         }
     }
 
-    private static void appendLine(StringBuilder svg, int number, String name, Histogram micros, double highest) {
-        String colour = COLOURS[number % COLOURS.length];
+    private static void appendLine(StringBuilder svg, int index, String name, Histogram micros, double maxMicros) {
+        String colour = COLOURS[index % COLOURS.length];
         svg.append("<polyline fill=\"none\" stroke=\"").append(colour).append("\" points=\"");
         for (double percentile : PERCENTILES) {
             double value = Math.max(1, micros.getValueAtPercentile(percentile));
-            svg.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(percentile), y(value, highest)));
+            svg.append(String.format(Locale.ROOT, "%.1f,%.1f ", x(percentile), y(value, maxMicros)));
         }
         svg.append(String.format(
                 Locale.ROOT,
                 "\"/>%n<text x=\"%d\" y=\"%d\" fill=\"%s\">%s</text>%n",
                 MARGIN + 10,
-                20 + 14 * number,
+                20 + 14 * index,
                 colour,
                 name));
     }
@@ -83,8 +83,8 @@
         return MARGIN + nines / 3 * (WIDTH - 2 * MARGIN);
     }
 
-    private static double y(double micros, double highest) {
-        double share = Math.log10(micros) / Math.max(1, Math.log10(highest) + 0.2);
-        return HEIGHT - MARGIN - share * (HEIGHT - 2 * MARGIN);
+    private static double y(double micros, double maxMicros) {
+        double fraction = Math.log10(micros) / Math.max(1, Math.log10(maxMicros) + 0.2);
+        return HEIGHT - MARGIN - fraction * (HEIGHT - 2 * MARGIN);
     }
 }
--- a/src/main/java/org/wigeongrade/bench/LoadPlan.java
+++ b/src/main/java/org/wigeongrade/bench/LoadPlan.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * What a load run sends: when, where to and how much.
+ * What a load run sends: when, where and how much.
  *
- * <p>{@code targets} are {@code ip:port}; {@code keys} are the organisations' bearer keys, used in turn. A run ends after
- * {@code durationMs} or {@code maxRequests}, whichever is first. Immutable; safe for use from any thread.
+ *
+ * <p>{@code targets} are {@code ip:port}; {@code keys} are the bearer keys of the organisations, used in turn. A run
+ * ends after {@code durationMs} or {@code maxRequests}, whichever comes first. Immutable; safe for use from any thread.
  */
 public record LoadPlan(
         List<String> targets,
@@ -27,9 +28,9 @@
         keys = List.copyOf(keys);
     }
 
-    /** Returns the same plan against other targets. */
-    LoadPlan against(List<String> otherTargets) {
-        return copy(otherTargets, keys, durationMs);
+    /** Returns the same plan with other targets. */
+    LoadPlan withTargets(List<String> newTargets) {
+        return copy(newTargets, keys, durationMs);
     }
 
     /** Returns the same plan without keys, for reports. */
@@ -37,19 +38,19 @@
         return copy(targets, List.of(), durationMs);
     }
 
-    /** Returns the same plan with another length in milliseconds. */
-    LoadPlan lasting(long otherDurationMs) {
-        return copy(targets, keys, otherDurationMs);
+    /** Returns the same plan with another duration in milliseconds. */
+    LoadPlan withDuration(long newDurationMs) {
+        return copy(targets, keys, newDurationMs);
     }
 
-    private LoadPlan copy(List<String> otherTargets, List<String> otherKeys, long otherDurationMs) {
+    private LoadPlan copy(List<String> newTargets, List<String> newKeys, long newDurationMs) {
         return new LoadPlan(
-                otherTargets,
+                newTargets,
                 workload,
                 model,
-                otherKeys,
+                newKeys,
                 requestsPerSecond,
-                otherDurationMs,
+                newDurationMs,
                 maxRequests,
                 maxInFlight,
                 maxTokens,
@@ -60,7 +61,7 @@
     }
 
     /** Returns the number of requests that the run sends. */
-    long requests() {
+    long requestCount() {
         return Math.min(maxRequests, (long) (requestsPerSecond * durationMs / 1_000));
     }
 }
--- a/src/main/java/org/wigeongrade/bench/LoadReport.java
+++ b/src/main/java/org/wigeongrade/bench/LoadReport.java
@@ -7,13 +7,13 @@
 import org.HdrHistogram.Histogram;
 import org.wigeongrade.standin.StandinJson;
 
-/** Text and JSON forms of load results, by the name of each run. Not safe for concurrent use. */
+/** Formats load results, by run name, as text and as JSON. Not safe for concurrent use. */
 final class LoadReport {
     private static final double[] PERCENTILES = {50, 90, 99, 99.9};
 
     private final LoadPlan plan;
     private final String revision;
-    private final Map<String, LoadResult> runs = new LinkedHashMap<>();
+    private final Map<String, LoadResult> resultsByRun = new LinkedHashMap<>();
 
     LoadReport(LoadPlan plan, String revision) {
         this.plan = plan;
@@ -21,15 +21,15 @@
     }
 
     void add(String name, LoadResult result) {
-        runs.put(name, result);
+        resultsByRun.put(name, result);
     }
 
-    Map<String, LoadResult> runs() {
-        return runs;
+    Map<String, LoadResult> resultsByRun() {
+        return resultsByRun;
     }
 
-    /** Returns a readable report; latencies in milliseconds. */
-    String text() {
+    /** Returns the report as text; latencies are in milliseconds. */
+    String toText() {
         StringBuilder text = new StringBuilder();
         text.append(String.format(
                 Locale.ROOT,
@@ -39,9 +39,9 @@
                 plan.workload(),
                 plan.requestsPerSecond(),
                 plan.durationMs()));
-        runs.forEach((name, result) -> appendRun(text, name, result));
-        if (runs.size() == 2) {
-            appendAdded(text);
+        resultsByRun.forEach((name, result) -> appendRun(text, name, result));
+        if (resultsByRun.size() == 2) {
+            appendAddedLatency(text);
         }
         return text.toString();
     }
@@ -51,7 +51,7 @@
                 Locale.ROOT,
                 "%s: %.1f answers/s, %.0f tokens/s, codes %s, run claims %s, not sent %d%n",
                 name,
-                result.answersPerSecond(),
+                result.responsesPerSecond(),
                 result.tokensPerSecond(),
                 result.codes(),
                 result.runClaims(),
@@ -67,42 +67,44 @@
         }
         text.append(name);
         for (double percentile : PERCENTILES) {
-            text.append(String.format(Locale.ROOT, "  p%s %.2f", label(percentile), atMs(micros, percentile)));
+            text.append(String.format(
+                    Locale.ROOT, "  p%s %.2f", percentileLabel(percentile), percentileMs(micros, percentile)));
         }
         text.append(String.format(Locale.ROOT, "  max %.2f%n", micros.getMaxValue() / 1e3));
     }
 
-    private void appendAdded(StringBuilder text) {
-        LoadResult[] results = runs.values().toArray(new LoadResult[0]);
+    private void appendAddedLatency(StringBuilder text) {
+        LoadResult[] results = resultsByRun.values().toArray(new LoadResult[0]);
         text.append("added latency ms");
         for (double percentile : PERCENTILES) {
-            double added = atMs(results[1].latencyMicros(), percentile) - atMs(results[0].latencyMicros(), percentile);
-            text.append(String.format(Locale.ROOT, "  p%s %.2f", label(percentile), added));
+            double addedMs = percentileMs(results[1].latencyMicros(), percentile)
+                    - percentileMs(results[0].latencyMicros(), percentile);
+            text.append(String.format(Locale.ROOT, "  p%s %.2f", percentileLabel(percentile), addedMs));
         }
         text.append(String.format("%n"));
     }
 
-    private static double atMs(Histogram micros, double percentile) {
+    private static double percentileMs(Histogram micros, double percentile) {
         return micros.getValueAtPercentile(percentile) / 1e3;
     }
 
-    private static String label(double percentile) {
+    private static String percentileLabel(double percentile) {
         return percentile == Math.rint(percentile) ? Integer.toString((int) percentile) : Double.toString(percentile);
     }
 
-    /** Returns the report as JSON; latencies in microseconds. */
-    String json() {
+    /** Returns the report as JSON; latencies are in microseconds. */
+    String toJson() {
         ObjectNode report = StandinJson.MAPPER.createObjectNode();
         report.put("seed", plan.seed());
         report.put("revision", revision);
         report.set("plan", StandinJson.MAPPER.valueToTree(plan.withoutKeys()));
-        runs.forEach((name, result) -> report.set(name, runJson(result)));
+        resultsByRun.forEach((name, result) -> report.set(name, resultJson(result)));
         return report.toPrettyString();
     }
 
-    private static ObjectNode runJson(LoadResult result) {
+    private static ObjectNode resultJson(LoadResult result) {
         ObjectNode run = StandinJson.MAPPER.createObjectNode();
-        run.put("answers_per_second", result.answersPerSecond());
+        run.put("answers_per_second", result.responsesPerSecond());
         run.put("tokens_per_second", result.tokensPerSecond());
         run.put("not_sent", result.notSent());
         run.set("codes", StandinJson.MAPPER.valueToTree(result.codes()));
@@ -117,7 +119,7 @@
         ObjectNode json = StandinJson.MAPPER.createObjectNode();
         json.put("count", micros.getTotalCount());
         for (double percentile : PERCENTILES) {
-            json.put("p" + label(percentile), micros.getValueAtPercentile(percentile));
+            json.put("p" + percentileLabel(percentile), micros.getValueAtPercentile(percentile));
         }
         json.put("max", micros.getMaxValue());
         return json;
--- a/src/main/java/org/wigeongrade/bench/LoadResult.java
+++ b/src/main/java/org/wigeongrade/bench/LoadResult.java
@@ -6,12 +6,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Counts and latencies of a load run. Latencies are microseconds from the scheduled start of each request.
+ * Counts and latencies of a load run. Latencies are in microseconds from the scheduled start of each request.
+ *
  *
  * <p>Safe for use from any thread.
  */
 public final class LoadResult {
-    private static final long HIGHEST_MICROS = TimeUnit.MINUTES.toMicros(10);
+    private static final long MAX_LATENCY_MICROS = TimeUnit.MINUTES.toMicros(10);
 
     private final Histogram latencyMicros = newHistogram();
     private final Histogram firstTokenMicros = newHistogram();
@@ -23,7 +24,7 @@
     private long elapsedNanos;
 
     private static Histogram newHistogram() {
-        return new Histogram(HIGHEST_MICROS, 3);
+        return new Histogram(MAX_LATENCY_MICROS, 3);
     }
 
     synchronized void add(CallResult result) {
@@ -41,7 +42,7 @@
     }
 
     private static void record(Histogram histogram, long nanos) {
-        histogram.recordValue(Math.min(HIGHEST_MICROS, Math.max(0, TimeUnit.NANOSECONDS.toMicros(nanos))));
+        histogram.recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(0, TimeUnit.NANOSECONDS.toMicros(nanos))));
     }
 
     synchronized void addNotSent() {
@@ -67,13 +68,13 @@
         return notSent;
     }
 
-    /** Returns tokens of whole answers per second. */
+    /** Returns the number of tokens per second in complete and correct responses. */
     public synchronized double tokensPerSecond() {
         return elapsedNanos == 0 ? 0 : tokens * 1e9 / elapsedNanos;
     }
 
-    /** Returns whole answers per second. */
-    public synchronized double answersPerSecond() {
+    /** Returns the number of complete and correct responses per second. */
+    public synchronized double responsesPerSecond() {
         return elapsedNanos == 0 ? 0 : codes.getOrDefault(CallResult.OK, 0L) * 1e9 / elapsedNanos;
     }
 
--- a/src/main/java/org/wigeongrade/bench/LoadRun.java
+++ b/src/main/java/org/wigeongrade/bench/LoadRun.java
@@ -7,61 +7,61 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * One open-loop run: each request starts at its scheduled time, whatever became of the earlier ones, and its latency
- * counts from that time. Safe for use from any thread; {@link #run} blocks its caller.
+ * One open-loop run: each request starts at its scheduled time, regardless of whether earlier requests have ended, and
+ * its latency is measured from that time. Safe for use from any thread; {@link #run} blocks its caller.
  */
 public final class LoadRun {
     private final LoadPlan plan;
     private final ModelClient client;
-    private final Semaphore slots;
+    private final Semaphore inFlightPermits;
     private final LoadResult result = new LoadResult();
 
     public LoadRun(LoadPlan plan, ModelClient client) {
         this.plan = plan;
         this.client = client;
-        this.slots = new Semaphore(plan.maxInFlight());
+        this.inFlightPermits = new Semaphore(plan.maxInFlight());
     }
 
-    /** Sends the plan's requests and returns when all have ended. */
+    /** Sends the requests of the plan and returns when all have ended. */
     public LoadResult run() {
         SplittableRandom random = new SplittableRandom(plan.seed());
         long startNanos = System.nanoTime();
         double periodNanos = TimeUnit.SECONDS.toNanos(1) / plan.requestsPerSecond();
-        for (long i = 0; i < plan.requests(); i++) {
+        for (long i = 0; i < plan.requestCount(); i++) {
             long dueNanos = startNanos + (long) (i * periodNanos);
             waitUntil(dueNanos);
             send(i, dueNanos, random);
         }
-        slots.acquireUninterruptibly(plan.maxInFlight());
+        inFlightPermits.acquireUninterruptibly(plan.maxInFlight());
         result.setElapsedNanos(System.nanoTime() - startNanos);
         return result;
     }
 
     private static void waitUntil(long dueNanos) {
-        long leftNanos = dueNanos - System.nanoTime();
-        while (leftNanos > 0) {
-            LockSupport.parkNanos(leftNanos);
-            leftNanos = dueNanos - System.nanoTime();
+        long remainingNanos = dueNanos - System.nanoTime();
+        while (remainingNanos > 0) {
+            LockSupport.parkNanos(remainingNanos);
+            remainingNanos = dueNanos - System.nanoTime();
         }
     }
 
-    private void send(long number, long dueNanos, SplittableRandom random) {
-        String operation = "load-" + plan.seed() + "-" + number;
+    private void send(long index, long dueNanos, SplittableRandom random) {
+        String operation = "load-" + plan.seed() + "-" + index;
         ModelCall call =
                 ModelCall.of(plan.workload(), plan.model(), prompt(operation, random), plan.maxTokens(), operation);
-        if (!slots.tryAcquire()) {
+        if (!inFlightPermits.tryAcquire()) {
             result.addNotSent();
             return;
         }
-        String target = plan.targets().get((int) (number % plan.targets().size()));
-        String key = plan.keys().get((int) (number % plan.keys().size()));
+        String target = plan.targets().get((int) (index % plan.targets().size()));
+        String key = plan.keys().get((int) (index % plan.keys().size()));
         CompletableFuture<Void> unused = client.send(target, call, key, operation, plan.timeoutMs(), dueNanos)
-                .thenAccept(this::take);
+                .thenAccept(this::recordResult);
     }
 
-    private void take(CallResult callResult) {
+    private void recordResult(CallResult callResult) {
         result.add(callResult);
-        slots.release();
+        inFlightPermits.release();
     }
 
     private String prompt(String operation, SplittableRandom random) {
--- a/src/main/java/org/wigeongrade/bench/LoadTool.java
+++ b/src/main/java/org/wigeongrade/bench/LoadTool.java
@@ -14,61 +14,62 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Command line load tool: sends open-loop load to entry VMs, checks every answer and reports latencies, beside the same
- * load sent directly to an endpoint if one is named. Not safe for concurrent use.
+ * Command-line load tool: sends open-loop load to entry VMs, checks every response and reports latencies. If an
+ * endpoint is named, it first sends the same load directly to that endpoint for comparison. Not safe for concurrent
+ * use.
  */
 public final class LoadTool {
-    private static final int USAGE_STATUS = 2;
+    private static final int USAGE_EXIT_STATUS = 2;
     private static final int CLIENT_THREADS = 2;
 
-    @Option(name = "--targets", usage = "ip:port of each entry VM, with commas", required = true)
+    @Option(name = "--targets", usage = "ip:port of each entry VM, separated by commas", required = true)
     private String targets = "";
 
     @Option(name = "--direct", usage = "ip:port of an endpoint to send the same load to first, for comparison")
     private String direct = "";
 
-    @Option(name = "--workload", usage = "kind of requests")
+    @Option(name = "--workload", usage = "kind of request")
     private Workload workload = Workload.CHAT;
 
-    @Option(name = "--model", usage = "model to ask for")
+    @Option(name = "--model", usage = "model to request")
     private String model = "model-a";
 
-    @Option(name = "--keys", usage = "bearer keys of organisations, with commas; used in turn")
+    @Option(name = "--keys", usage = "bearer keys of the organisations, separated by commas; used in turn")
     private String keys = "key";
 
     @Option(name = "--rate", usage = "requests per second")
     private double requestsPerSecond = 20;
 
-    @Option(name = "--seconds", usage = "length of each run, in seconds")
+    @Option(name = "--seconds", usage = "duration of each measured run, in seconds")
     private double seconds = 5;
 
-    @Option(name = "--warm-up-seconds", usage = "length of a run before each measured one, in seconds")
+    @Option(name = "--warm-up-seconds", usage = "duration of the warm-up before each measured run, in seconds")
     private double warmUpSeconds = 1;
 
-    @Option(name = "--max-requests", usage = "requests of each run at most")
+    @Option(name = "--max-requests", usage = "maximum number of requests in each run")
     private long maxRequests = 100_000;
 
     @Option(
             name = "--max-in-flight",
-            usage = "requests in flight at most; a request due above it is counted as not sent")
+            usage = "maximum number of requests in flight; a request due above it is not sent, only counted")
     private int maxInFlight = 256;
 
-    @Option(name = "--max-tokens", usage = "tokens of each answer")
+    @Option(name = "--max-tokens", usage = "number of tokens in each response")
     private int maxTokens = 16;
 
-    @Option(name = "--prompt-chars", usage = "length of each shared prefix in characters")
+    @Option(name = "--prompt-chars", usage = "length of each shared prompt prefix, in characters")
     private int promptChars = 512;
 
-    @Option(name = "--shared-prefixes", usage = "number of prefixes that prompts share; 0 for none")
+    @Option(name = "--shared-prefixes", usage = "number of shared prompt prefixes; 0 for none")
     private int sharedPrefixes = 0;
 
-    @Option(name = "--timeout-ms", usage = "time to wait for each answer, in milliseconds")
+    @Option(name = "--timeout-ms", usage = "time to wait for each response, in milliseconds")
     private long timeoutMs = 10_000;
 
     @Option(name = "--seed", usage = "seed of the run")
     private long seed = 1;
 
-    @Option(name = "--revision", usage = "revision of the program, for the report")
+    @Option(name = "--revision", usage = "revision of the program to show in the report")
     private String revision = "unknown";
 
     @Option(name = "--out", usage = "prefix of the files to write: .txt, .json and .svg")
@@ -82,7 +83,7 @@
         } catch (CmdLineException e) {
             System.err.println(e.getMessage());
             parser.printUsage(System.err);
-            System.exit(USAGE_STATUS);
+            System.exit(USAGE_EXIT_STATUS);
         }
         tool.run();
     }
@@ -99,18 +100,18 @@
                     .executor(executor)
                     .build());
             if (!direct.isEmpty()) {
-                report.add("direct", measure(plan.against(List.of(direct)), client));
+                report.add("direct", measure(plan.withTargets(List.of(direct)), client));
             }
             report.add("entries", measure(plan, client));
         } finally {
             executor.shutdown();
         }
-        System.out.print(report.text());
+        System.out.print(report.toText());
         write(report);
     }
 
     private LoadResult measure(LoadPlan plan, ModelClient client) {
-        LoadResult unused = new LoadRun(plan.lasting((long) (warmUpSeconds * 1_000)), client).run();
+        LoadResult unused = new LoadRun(plan.withDuration((long) (warmUpSeconds * 1_000)), client).run();
         return new LoadRun(plan, client).run();
     }
 
@@ -135,8 +136,8 @@
         if (out.isEmpty()) {
             return;
         }
-        Files.writeString(Path.of(out + ".txt"), report.text());
-        Files.writeString(Path.of(out + ".json"), report.json());
-        Files.writeString(Path.of(out + ".svg"), LatencyPlot.svg(report.runs()));
+        Files.writeString(Path.of(out + ".txt"), report.toText());
+        Files.writeString(Path.of(out + ".json"), report.toJson());
+        Files.writeString(Path.of(out + ".svg"), LatencyPlot.svg(report.resultsByRun()));
     }
 }
--- a/src/main/java/org/wigeongrade/bench/LogBench.java
+++ b/src/main/java/org/wigeongrade/bench/LogBench.java
@@ -23,9 +23,11 @@
 import org.wigeongrade.nodes.log.RaftReplicatedLog;
 
 /**
- * Measures the replicated log: commit latency and rate, restart time, bytes for each entry and time to a new leader.
+ * Measures the replicated log: commit latency and throughput, idle cost, failover time, restart time and log bytes per
+ * entry.
  *
- * <p>Prints one JSON object. Takes under two minutes with the default options. Not thread safe.
+ *
+ * <p>Prints one JSON object. Takes under two minutes with the default options. Not thread-safe.
  */
 public final class LogBench {
     private static final int[] CONCURRENCIES = {1, 16};
@@ -33,14 +35,17 @@
     private static final int PAYLOAD_BYTES = 256;
     private static final int FAILOVERS = 10;
     private static final long IDLE_MS = 10_000;
-    private static final int REOPENS = 5;
+    private static final int FOLDER_OPENS = 5;
     private static final long WARM_UP_MS = 2_000;
     private static final long MAX_LATENCY_MICROS = 60_000_000;
 
-    @Option(name = "--folder", usage = "folder on the disk to measure; a subfolder is made and kept", required = true)
+    @Option(
+            name = "--folder",
+            usage = "folder on the disk to measure; subfolders are created in it and kept",
+            required = true)
     private Path folder = Path.of("");
 
-    @Option(name = "--seconds", usage = "measured time for each concurrency")
+    @Option(name = "--seconds", usage = "duration of the measurement at each concurrency, in seconds")
     private int seconds = 5;
 
     private LogBench() {}
@@ -65,17 +70,22 @@
         Map<String, Object> results = new LinkedHashMap<>();
         results.put("payload_bytes", PAYLOAD_BYTES);
         try (LogBenchCluster cluster = newCluster()) {
-            drive(cluster, 1, TimeUnit.MILLISECONDS.toNanos(WARM_UP_MS), Long.MAX_VALUE);
+            submitCommands(cluster, 1, TimeUnit.MILLISECONDS.toNanos(WARM_UP_MS), Long.MAX_VALUE);
             for (int concurrency : CONCURRENCIES) {
                 long runNanos = TimeUnit.SECONDS.toNanos(seconds);
-                results.put("commit_concurrency_" + concurrency, drive(cluster, concurrency, runNanos, Long.MAX_VALUE));
+                results.put(
+                        "commit_concurrency_" + concurrency,
+                        submitCommands(cluster, concurrency, runNanos, Long.MAX_VALUE));
             }
-            results.put("idle", idle(cluster));
-            results.put("new_leader_after_stop_ms", newLeaders(cluster, cluster::stop, stopped -> cluster.startAll()));
-            results.put("new_leader_after_silent_cut_ms", newLeaders(cluster, cluster::cutOff, cluster::reconnect));
+            results.put("idle", measureIdle(cluster));
+            results.put(
+                    "new_leader_after_stop_ms",
+                    measureFailovers(cluster, cluster::stop, stopped -> cluster.startAll()));
+            results.put(
+                    "new_leader_after_silent_cut_ms", measureFailovers(cluster, cluster::isolate, cluster::reconnect));
         }
         for (int entries : RESTART_ENTRIES) {
-            results.put("restart_after_" + entries, restart(entries));
+            results.put("restart_after_" + entries, measureRestart(entries));
         }
         return results;
     }
@@ -84,9 +94,11 @@
         return new LogBenchCluster(Files.createTempDirectory(folder, "log-bench-"));
     }
 
-    /** Submits with a fixed number of commands in flight until the time or the count is spent. */
-    private static Map<String, Object> drive(LogBenchCluster cluster, int concurrency, long runNanos, long maxEntries)
-            throws InterruptedException {
+    /**
+     * Submits commands, keeping a fixed number in flight, until the time is over or the number of entries is reached.
+     */
+    private static Map<String, Object> submitCommands(
+            LogBenchCluster cluster, int concurrency, long runNanos, long maxEntries) throws InterruptedException {
         RaftReplicatedLog leader = cluster.log(cluster.awaitLeader());
         Histogram latencyMicros = new ConcurrentHistogram(MAX_LATENCY_MICROS, 3);
         Semaphore inFlight = new Semaphore(concurrency);
@@ -110,8 +122,8 @@
 
     private static void submit(RaftReplicatedLog leader, Histogram latencyMicros, Semaphore inFlight) {
         long sentNanos = System.nanoTime();
-        CompletableFuture<byte[]> answer = leader.submit(new byte[PAYLOAD_BYTES]);
-        CompletableFuture<byte[]> unused = answer.whenComplete((result, failure) -> {
+        CompletableFuture<byte[]> commit = leader.submit(new byte[PAYLOAD_BYTES]);
+        CompletableFuture<byte[]> unused = commit.whenComplete((result, failure) -> {
             if (failure == null) {
                 latencyMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentNanos));
             }
@@ -119,15 +131,18 @@
         });
     }
 
-    /** Counts what the leader sends and the processor time of the whole process while nothing is submitted. */
-    private static Map<String, Object> idle(LogBenchCluster cluster) throws InterruptedException {
+    /**
+     * Measures, while nothing is submitted, the messages that the leader sends and the processor time of the whole
+     * process.
+     */
+    private static Map<String, Object> measureIdle(LogBenchCluster cluster) throws InterruptedException {
         NodeName leader = cluster.awaitLeader();
-        long messagesBefore = cluster.sentMessages(leader);
+        long messagesBefore = cluster.sentMessageCount(leader);
         long cpuBeforeNanos = cpuNanos();
         Thread.sleep(IDLE_MS);
         double idleS = IDLE_MS / 1e3;
         Map<String, Object> result = new LinkedHashMap<>();
-        result.put("leader_messages_per_s", (cluster.sentMessages(leader) - messagesBefore) / idleS);
+        result.put("leader_messages_per_s", (cluster.sentMessageCount(leader) - messagesBefore) / idleS);
         result.put("cpu_ms_per_s_of_three_replicas", (cpuNanos() - cpuBeforeNanos) / 1e6 / idleS);
         return result;
     }
@@ -140,57 +155,57 @@
                 .toNanos();
     }
 
-    private static Map<String, Object> newLeaders(
-            LogBenchCluster cluster, Consumer<NodeName> remove, Consumer<NodeName> bringBack) {
-        Histogram tookMs = new Histogram(MAX_LATENCY_MICROS, 3);
+    private static Map<String, Object> measureFailovers(
+            LogBenchCluster cluster, Consumer<NodeName> removeLeader, Consumer<NodeName> restoreReplica) {
+        Histogram durationsMs = new Histogram(MAX_LATENCY_MICROS, 3);
         for (int i = 0; i < FAILOVERS; i++) {
-            NodeName old = cluster.awaitLeader();
+            NodeName oldLeader = cluster.awaitLeader();
             cluster.awaitAllApplied();
             long startNanos = System.nanoTime();
-            remove.accept(old);
+            removeLeader.accept(oldLeader);
             cluster.awaitLeader();
-            tookMs.recordValue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
-            bringBack.accept(old);
+            durationsMs.recordValue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
+            restoreReplica.accept(oldLeader);
             cluster.awaitAllApplied();
         }
         Map<String, Object> result = new LinkedHashMap<>();
-        result.put("runs", tookMs.getTotalCount());
-        result.put("min", tookMs.getMinValue());
-        result.put("p50", tookMs.getValueAtPercentile(50));
-        result.put("max", tookMs.getMaxValue());
+        result.put("runs", durationsMs.getTotalCount());
+        result.put("min", durationsMs.getMinValue());
+        result.put("p50", durationsMs.getValueAtPercentile(50));
+        result.put("max", durationsMs.getMaxValue());
         return result;
     }
 
-    private Map<String, Object> restart(int entries) throws Exception {
+    private Map<String, Object> measureRestart(int entries) throws Exception {
         try (LogBenchCluster cluster = newCluster()) {
             cluster.awaitLeader();
-            long emptyBytes = cluster.logSizeBytes(cluster.awaitLeader());
-            drive(cluster, 16, Long.MAX_VALUE, entries);
+            long emptyLogBytes = cluster.logSizeBytes(cluster.awaitLeader());
+            submitCommands(cluster, 16, Long.MAX_VALUE, entries);
             cluster.awaitAllApplied();
             NodeName leader = cluster.awaitLeader();
-            long index = cluster.log(leader).appliedIndex();
+            long appliedIndexBefore = cluster.log(leader).appliedIndex();
             long logBytes = cluster.logSizeBytes(leader);
             cluster.stopAll();
             Map<String, Object> result = new LinkedHashMap<>();
-            result.put("log_bytes_per_entry", (logBytes - emptyBytes) / entries);
-            result.put("folder_open_ms", folderOpenMs(cluster.folderOf(leader)));
+            result.put("log_bytes_per_entry", (logBytes - emptyLogBytes) / entries);
+            result.put("folder_open_ms", medianFolderOpenMs(cluster.dataFolder(leader)));
             long startNanos = System.nanoTime();
             cluster.startAll();
             cluster.awaitLeader();
             result.put("leader_with_all_applied_ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
-            result.put("applied_index_before", index);
+            result.put("applied_index_before", appliedIndexBefore);
             result.put("applied_index_after", cluster.log(cluster.awaitLeader()).appliedIndex());
             return result;
         }
     }
 
-    private static double folderOpenMs(Path dataFolder) {
-        Histogram tookMicros = new Histogram(MAX_LATENCY_MICROS, 3);
-        for (int i = 0; i < REOPENS; i++) {
+    private static double medianFolderOpenMs(Path dataFolder) {
+        Histogram durationsMicros = new Histogram(MAX_LATENCY_MICROS, 3);
+        for (int i = 0; i < FOLDER_OPENS; i++) {
             long startNanos = System.nanoTime();
             LogStore.open(dataFolder, FileOperations.SYSTEM, () -> 0).close();
-            tookMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos));
+            durationsMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos));
         }
-        return tookMicros.getValueAtPercentile(50) / 1e3;
+        return durationsMicros.getValueAtPercentile(50) / 1e3;
     }
 }
--- a/src/main/java/org/wigeongrade/bench/LogBenchCluster.java
+++ b/src/main/java/org/wigeongrade/bench/LogBenchCluster.java
@@ -23,16 +23,16 @@
 import org.wigeongrade.nodes.log.RaftReplicatedLog;
 import org.wigeongrade.nodes.log.ReplicatedStateMachine;
 
-/** Three replicas in one process over loopback Thrift and real files. Not thread safe. */
+/** Three replicas in one process that use Thrift over loopback and real files. Not thread-safe. */
 final class LogBenchCluster implements AutoCloseable {
     private static final int VOTERS = 3;
-    private static final long DEADLINE_S = 30;
+    private static final long WAIT_TIMEOUT_S = 30;
     private static final long COMPACT_AFTER_ENTRIES = 10_500;
 
     private final Path folder;
     private final Map<NodeName, InetSocketAddress> addresses = new TreeMap<>();
     private final Map<NodeName, RaftReplicatedLog> logs = new TreeMap<>();
-    private final Map<NodeName, CuttableTransport> transports = new TreeMap<>();
+    private final Map<NodeName, IsolatableTransport> transports = new TreeMap<>();
 
     LogBenchCluster(Path folder) throws IOException {
         this.folder = folder;
@@ -51,21 +51,21 @@
         logs.clear();
     }
 
-    /** Stops a replica; a leader hands over. */
+    /** Stops a replica; a leader transfers its leadership as it stops. */
     void stop(NodeName name) {
         logs.remove(name).close();
     }
 
-    /** Cuts a replica off in silence and leaves it running. */
-    void cutOff(NodeName name) {
-        transports.get(name).cutOff(true);
+    /** Drops all messages to and from a replica silently, and leaves it running. */
+    void isolate(NodeName name) {
+        transports.get(name).setIsolated(true);
     }
 
     void reconnect(NodeName name) {
-        transports.get(name).cutOff(false);
+        transports.get(name).setIsolated(false);
     }
 
-    /** Waits for a leader that may serve. */
+    /** Waits until a replica leads with a valid lease, so that it may serve, and returns its name. */
     NodeName awaitLeader() {
         await(() -> leader().isPresent());
         return leader().orElseThrow();
@@ -75,27 +75,27 @@
         return logs.get(name);
     }
 
-    /** Waits until every running replica applied as much as the leader. */
+    /** Waits until every running replica has applied all entries that the leader has applied by now. */
     void awaitAllApplied() {
         long index = log(awaitLeader()).appliedIndex();
         await(() -> logs.values().stream().allMatch(log -> log.appliedIndex() >= index));
     }
 
-    long sentMessages(NodeName name) {
+    long sentMessageCount(NodeName name) {
         return transports.get(name).sentMessages();
     }
 
     long logSizeBytes(NodeName name) throws IOException {
-        return Files.size(folderOf(name).resolve("log"));
+        return Files.size(dataFolder(name).resolve("log"));
     }
 
-    Path folderOf(NodeName name) {
+    Path dataFolder(NodeName name) {
         return folder.resolve(name.value());
     }
 
     private Optional<NodeName> leader() {
         return logs.entrySet().stream()
-                .filter(entry -> !transports.get(entry.getKey()).isCutOff())
+                .filter(entry -> !transports.get(entry.getKey()).isIsolated())
                 .filter(entry -> entry.getValue().leadsWithLease())
                 .map(Map.Entry::getKey)
                 .findFirst();
@@ -105,27 +105,28 @@
         Map<NodeName, InetSocketAddress> peers = new TreeMap<>(addresses);
         peers.remove(name);
         SecureRandom random = new SecureRandom();
-        CuttableTransport transport = new CuttableTransport(name, addresses.get(name), peers);
+        IsolatableTransport transport = new IsolatableTransport(name, addresses.get(name), peers);
         RaftReplicatedLog log = new RaftReplicatedLog(
                 CoreSettings.configured(name, ImmutableSortedSet.copyOf(addresses.keySet()), LogTimings.DEFAULT),
-                LogStore.open(folderOf(name), FileOperations.SYSTEM, random::nextLong),
+                LogStore.open(dataFolder(name), FileOperations.SYSTEM, random::nextLong),
                 transport,
-                new Counter(),
+                new CommandCounter(),
                 System::nanoTime,
                 random,
                 COMPACT_AFTER_ENTRIES,
                 failure -> {});
-        transport.connect(log::receive);
+        transport.setReceiver(log::receive);
         transports.put(name, transport);
         logs.put(name, log);
         log.start();
     }
 
     private static void await(BooleanSupplier condition) {
-        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(DEADLINE_S);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - deadlineNanos > 0) {
-                throw new IllegalStateException("the replicas did not get ready in " + DEADLINE_S + " s");
+                throw new IllegalStateException(
+                        "the replicas did not reach the expected state within " + WAIT_TIMEOUT_S + " s");
             }
             LockSupport.parkNanos(100_000);
         }
@@ -142,8 +143,8 @@
         stopAll();
     }
 
-    /** Counts its commands. Used by one thread at a time. */
-    private static final class Counter implements ReplicatedStateMachine {
+    /** Counts the commands that it applies. Used by one thread at a time. */
+    private static final class CommandCounter implements ReplicatedStateMachine {
         private long count;
 
         @Override
--- a/src/main/java/org/wigeongrade/bench/ModelCall.java
+++ b/src/main/java/org/wigeongrade/bench/ModelCall.java
@@ -7,22 +7,24 @@
 import org.wigeongrade.standin.StandinJson;
 
 /**
- * One request to a model together with the answer that is due.
+ * One request to a model together with the expected text of its response.
+ *
  *
  * <p>Immutable; safe for use from any thread.
  */
-public record ModelCall(String path, String body, String operation, String digest, String expectedAnswer) {
-    /** Returns a call; {@code operation} names it in the journals of the stand-ins. */
-    public static ModelCall of(Workload workload, String model, String text, int maxTokens, String operation) {
+public record ModelCall(String path, String body, String operation, String promptDigest, String expectedText) {
+    /** Returns a call; {@code operation} identifies it in the journals of the stand-ins. */
+    public static ModelCall of(Workload workload, String model, String promptText, int maxTokens, String operation) {
         ObjectNode body = StandinJson.MAPPER.createObjectNode();
         body.put("model", model);
         body.put("max_tokens", maxTokens);
         body.put("stream", workload.isStream());
         body.put("user", operation);
         if (workload.isChat()) {
-            body.putArray("messages").add(StandinJson.MAPPER.valueToTree(Map.of("role", "user", "content", text)));
+            body.putArray("messages")
+                    .add(StandinJson.MAPPER.valueToTree(Map.of("role", "user", "content", promptText)));
         } else {
-            body.put("prompt", text);
+            body.put("prompt", promptText);
         }
         Prompt prompt = Prompt.of(body).orElseThrow();
         return new ModelCall(
--- a/src/main/java/org/wigeongrade/bench/OverloadMechanism.java
+++ b/src/main/java/org/wigeongrade/bench/OverloadMechanism.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.bench;
 
-/** What holds back work in {@link OverloadSimulation}. */
+/** What limits the work sent to endpoints in {@link OverloadSimulation}. */
 public enum OverloadMechanism {
     NEITHER,
     RETRY_BUDGET,
--- a/src/main/java/org/wigeongrade/bench/OverloadResult.java
+++ b/src/main/java/org/wigeongrade/bench/OverloadResult.java
@@ -1,9 +1,10 @@
 package org.wigeongrade.bench;
 
 /**
- * Figures of one run of {@link OverloadSimulation}. {@code goodputOfCapacity} is the work answered before its caller's
- * deadline, as part of what the endpoints can bear; {@code attemptsPerRequest} are sends. Immutable; safe for use from
- * any thread.
+ * Result of one run of {@link OverloadSimulation}. {@code goodputOfCapacity} is the number of requests answered before
+ * the deadline of their caller, as a ratio of what the endpoints can serve in that time. {@code attemptsPerRequest} is
+ * the mean number of sends per request. {@code workWasted} is the number of attempts that an endpoint ran without
+ * benefit to the caller. Immutable; safe for use from any thread.
  */
 public record OverloadResult(
         String mechanism,
--- a/src/main/java/org/wigeongrade/bench/OverloadSimulation.java
+++ b/src/main/java/org/wigeongrade/bench/OverloadSimulation.java
@@ -13,8 +13,8 @@
 import org.wigeongrade.ids.ServiceName;
 
 /**
- * Endpoints that queue what they cannot run at once, under callers with deadlines and attempts that time out and are
- * retried, in virtual time. An endpoint cannot tell that an attempt was given up and runs it all the same. Not
+ * Simulates, in virtual time, endpoints that queue the attempts they cannot run at once. Callers have deadlines;
+ * attempts time out and are retried. An endpoint cannot tell that an attempt has timed out and runs it anyway. Not
  * thread-safe.
  */
 final class OverloadSimulation {
@@ -23,7 +23,7 @@
     private static final long MEAN_RUN_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final long ATTEMPT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
     private static final long CALLER_DEADLINE_NANOS = TimeUnit.SECONDS.toNanos(5);
-    private static final long COME_BACK_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long RETRY_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final int MAX_ATTEMPTS = 4;
     private static final RouteTarget TARGET = RouteTarget.of(ServiceName.of("service"));
 
@@ -31,7 +31,7 @@
     private final double loadFactor;
     private final RandomGenerator random;
     private final VirtualTime time = new VirtualTime();
-    private final RetryBudget budget = new RetryBudget(0.1, 10);
+    private final RetryBudget retryBudget = new RetryBudget(0.1, 10);
     private final List<Endpoint> endpoints = new ArrayList<>();
     private long offered;
     private long attempts;
@@ -39,11 +39,11 @@
     private long workWasted;
 
     private static final class Endpoint {
-        private final Deque<Attempt> waiting = new ArrayDeque<>();
+        private final Deque<Attempt> queue = new ArrayDeque<>();
         private int running;
 
         int inFlight() {
-            return running + waiting.size();
+            return running + queue.size();
         }
     }
 
@@ -59,7 +59,7 @@
 
     private static final class Attempt {
         private final Request request;
-        private boolean givenUp;
+        private boolean timedOut;
 
         Attempt(Request request) {
             this.request = request;
@@ -76,7 +76,7 @@
     }
 
     OverloadResult run(int virtualSeconds) {
-        arriveLater();
+        scheduleArrival();
         time.runUntil(TimeUnit.SECONDS.toNanos(virtualSeconds));
         double capacityPerSecond = ENDPOINTS * CAPACITY * 1e9 / MEAN_RUN_NANOS;
         double goodput = answeredInTime / (capacityPerSecond * virtualSeconds);
@@ -98,71 +98,71 @@
         return (long) (-Math.log(1 - random.nextDouble()) * meanNanos);
     }
 
-    private void arriveLater() {
+    private void scheduleArrival() {
         time.after(exponential(MEAN_RUN_NANOS / (loadFactor * ENDPOINTS * CAPACITY)), () -> {
             offered++;
-            budget.firstAttempt(TARGET);
-            attempt(new Request(time.nowNanos()));
-            arriveLater();
+            retryBudget.firstAttempt(TARGET);
+            sendAttempt(new Request(time.nowNanos()));
+            scheduleArrival();
         });
     }
 
-    private boolean isTooLate(Request request) {
+    private boolean isPastDeadline(Request request) {
         return time.nowNanos() - request.arrivedNanos >= CALLER_DEADLINE_NANOS;
     }
 
-    private void attempt(Request request) {
-        if (isTooLate(request)) {
+    private void sendAttempt(Request request) {
+        if (isPastDeadline(request)) {
             return;
         }
         Endpoint endpoint = lessLoadedOfTwo();
         if (mechanism.hasShares() && endpoint.inFlight() >= CAPACITY) {
-            time.after(COME_BACK_NANOS, () -> attempt(request));
+            time.after(RETRY_AFTER_NANOS, () -> sendAttempt(request));
             return;
         }
         request.attempts++;
         attempts++;
         Attempt attempt = new Attempt(request);
-        endpoint.waiting.add(attempt);
-        startWaiting(endpoint);
-        time.after(ATTEMPT_TIMEOUT_NANOS, () -> timeOut(attempt));
+        endpoint.queue.add(attempt);
+        startQueued(endpoint);
+        time.after(ATTEMPT_TIMEOUT_NANOS, () -> onAttemptTimeout(attempt));
     }
 
     private Endpoint lessLoadedOfTwo() {
-        Endpoint one = endpoints.get(random.nextInt(endpoints.size()));
-        Endpoint other = endpoints.get(random.nextInt(endpoints.size()));
-        return one.inFlight() <= other.inFlight() ? one : other;
+        Endpoint first = endpoints.get(random.nextInt(endpoints.size()));
+        Endpoint second = endpoints.get(random.nextInt(endpoints.size()));
+        return first.inFlight() <= second.inFlight() ? first : second;
     }
 
-    private void timeOut(Attempt attempt) {
+    private void onAttemptTimeout(Attempt attempt) {
         Request request = attempt.request;
-        if (attempt.givenUp || request.answered) {
+        if (attempt.timedOut || request.answered) {
             return;
         }
-        attempt.givenUp = true;
-        boolean allowed = !mechanism.hasRetryBudget() || budget.tryRetry(TARGET);
-        if (request.attempts < MAX_ATTEMPTS && allowed) {
-            attempt(request);
+        attempt.timedOut = true;
+        boolean retryAllowed = !mechanism.hasRetryBudget() || retryBudget.tryRetry(TARGET);
+        if (request.attempts < MAX_ATTEMPTS && retryAllowed) {
+            sendAttempt(request);
         }
     }
 
-    private void startWaiting(Endpoint endpoint) {
-        while (endpoint.running < CAPACITY && !endpoint.waiting.isEmpty()) {
-            Attempt attempt = endpoint.waiting.poll();
+    private void startQueued(Endpoint endpoint) {
+        while (endpoint.running < CAPACITY && !endpoint.queue.isEmpty()) {
+            Attempt attempt = endpoint.queue.poll();
             endpoint.running++;
-            time.after(exponential((double) MEAN_RUN_NANOS), () -> end(endpoint, attempt));
+            time.after(exponential((double) MEAN_RUN_NANOS), () -> finishRun(endpoint, attempt));
         }
     }
 
-    private void end(Endpoint endpoint, Attempt attempt) {
+    private void finishRun(Endpoint endpoint, Attempt attempt) {
         endpoint.running--;
         Request request = attempt.request;
-        if (attempt.givenUp || request.answered || isTooLate(request)) {
+        if (attempt.timedOut || request.answered || isPastDeadline(request)) {
             workWasted++;
         } else {
             request.answered = true;
             answeredInTime++;
         }
-        startWaiting(endpoint);
+        startQueued(endpoint);
     }
 }
--- a/src/main/java/org/wigeongrade/bench/PlacementBench.java
+++ b/src/main/java/org/wigeongrade/bench/PlacementBench.java
@@ -11,8 +11,8 @@
 import org.wigeongrade.decisions.placement.PlacementPlanner;
 
 /**
- * Measures group downtime and stranded accelerators over VM failures in virtual time, for both placement weights and a
- * baseline, and prints one JSON line for each run. Equal seeds give equal lines. Not thread safe.
+ * Measures group downtime and stranded accelerators under VM failures in virtual time, for both placement objectives
+ * and a first-fit baseline, and prints one JSON line for each run. Equal seeds give equal lines. Not thread-safe.
  */
 public final class PlacementBench {
     @Option(name = "--failures", usage = "number of VM failures in each run")
@@ -21,43 +21,45 @@
     @Option(name = "--seed", usage = "seed of the failure schedule")
     private long seed = 1;
 
-    @Option(name = "--replicas", usage = "declared replicas in each run")
+    @Option(name = "--replicas", usage = "number of declared replicas in each run")
     private int replicas = 50;
 
-    @Option(name = "--spares", usage = "warm spares for each availability zone in the run that keeps them")
+    @Option(
+            name = "--spares",
+            usage = "number of warm spares in each availability zone, in the group_downtime run only")
     private int spares = 4;
 
     private PlacementBench() {}
 
-    /** Runs the experiment and prints its figures. */
+    /** Runs the benchmark and prints its results. */
     public static void main(String[] args) throws CmdLineException, JsonProcessingException {
         final PlacementBench bench = new PlacementBench();
         new CmdLineParser(bench).parseArgument(args);
         final ObjectMapper mapper = new ObjectMapper();
-        for (final PlacementFigures figures : bench.run()) {
-            System.out.println(mapper.writeValueAsString(figures));
+        for (final PlacementResult result : bench.run()) {
+            System.out.println(mapper.writeValueAsString(result));
         }
     }
 
-    private List<PlacementFigures> run() {
+    private List<PlacementResult> run() {
         final FailureSchedule schedule = FailureSchedule.random(seed, failures, PlacementRun.VMS);
-        final List<PlacementFigures> figures = new ArrayList<>();
-        figures.add(PlacementRun.of(
+        final List<PlacementResult> results = new ArrayList<>();
+        results.add(PlacementRun.run(
                 "group_downtime", replicas, PlacementWeight.GROUP_DOWNTIME, spares, schedule, PlacementPlanner::plan));
-        figures.add(PlacementRun.of(
+        results.add(PlacementRun.run(
                 "stranded_accelerators",
                 replicas,
                 PlacementWeight.STRANDED_ACCELERATORS,
                 0,
                 schedule,
                 PlacementPlanner::plan));
-        figures.add(PlacementRun.of(
+        results.add(PlacementRun.run(
                 "first_fit_in_zone",
                 replicas,
                 PlacementWeight.STRANDED_ACCELERATORS,
                 0,
                 schedule,
                 FirstFitPlanner::plan));
-        return figures;
+        return results;
     }
 }
--- a/src/main/java/org/wigeongrade/bench/PlacementFigures.java
+++ b/src/main/java/org/wigeongrade/bench/PlacementResult.java
@@ -1,11 +1,11 @@
 package org.wigeongrade.bench;
 
 /**
- * Figures of one placement run. {@code groupDowntimeSeconds} adds up, over the groups, the time between the end of
- * serving and serving again; {@code strandedAcceleratorSeconds} the accelerators of running VMs outside serving groups.
- * Immutable; safe for use from any thread.
+ * Result of one placement run. {@code groupDowntimeSeconds} is the sum, over all groups, of the time between the end of
+ * serving and the next start of serving. {@code strandedAcceleratorSeconds} is the number of accelerators on running
+ * VMs outside serving groups, summed over time. Immutable; safe for use from any thread.
  */
-public record PlacementFigures(
+public record PlacementResult(
         String planner,
         int replicas,
         int failures,
--- a/src/main/java/org/wigeongrade/bench/PlacementRun.java
+++ b/src/main/java/org/wigeongrade/bench/PlacementRun.java
@@ -23,7 +23,7 @@
 import org.wigeongrade.ids.PoolName;
 import org.wigeongrade.ids.VmName;
 
-/** One run of a planner over a failure schedule in steps of one second of virtual time. Not thread safe. */
+/** Runs a planner against a failure schedule in steps of one second of virtual time. Not thread-safe. */
 final class PlacementRun {
     static final int WARM_UP_SECONDS = 1_200;
     static final int ZONES = 3;
@@ -38,116 +38,121 @@
 
     private final VirtualFleet fleet;
     private final FailureSchedule schedule;
-    private final List<FailureSchedule.Failure> open = new ArrayList<>();
-    private final Set<GroupName> serving = new HashSet<>();
+    private final List<FailureSchedule.Failure> activeFailures = new ArrayList<>();
+    private final Set<GroupName> servingBefore = new HashSet<>();
     private final Map<GroupName, Long> downSinceSeconds = new HashMap<>();
     private int nextFailure;
     private long outages;
     private long downtimeSeconds;
-    private long strandedSeconds;
-    private long servingSeconds;
-    private int fewestServing = Integer.MAX_VALUE;
+    private long strandedAcceleratorSeconds;
+    private long servingGroupSeconds;
+    private int fewestServingGroups = Integer.MAX_VALUE;
 
     private PlacementRun(VirtualFleet fleet, FailureSchedule schedule) {
         this.fleet = fleet;
         this.schedule = schedule;
     }
 
-    static PlacementFigures of(
-            String name,
+    static PlacementResult run(
+            String plannerName,
             int replicas,
-            PlacementWeight weighs,
+            PlacementWeight objective,
             int spares,
             FailureSchedule schedule,
             Function<PlacementInput, List<PlacementAction>> planner) {
         final VirtualFleet fleet = new VirtualFleet(vms(ZONES * DOMAINS_PER_ZONE), planner);
-        fleet.declare(declared(replicas, weighs, spares));
+        fleet.declare(declaredSet(replicas, objective, spares));
         final PlacementRun run = new PlacementRun(fleet, schedule);
         final long endSeconds = schedule.endSeconds() + WARM_UP_SECONDS;
         for (long second = 1; second <= endSeconds; second++) {
             run.step(second);
         }
-        return run.figures(name, replicas, endSeconds - WARM_UP_SECONDS);
+        return run.result(plannerName, replicas, endSeconds - WARM_UP_SECONDS);
     }
 
     private void step(long second) {
-        fail(second);
+        applyFailures(second);
         fleet.step(SECOND_NANOS);
         if (second > WARM_UP_SECONDS) {
             measure(second);
         }
     }
 
-    private void fail(long second) {
+    private void applyFailures(long second) {
         while (nextFailure < schedule.failures().size()
-                && schedule.failures().get(nextFailure).atSeconds() <= second) {
+                && schedule.failures().get(nextFailure).startSeconds() <= second) {
             final FailureSchedule.Failure failure = schedule.failures().get(nextFailure);
-            hit(failure).forEach(VirtualVm::stop);
-            open.add(failure);
+            affectedVms(failure).forEach(VirtualVm::stop);
+            activeFailures.add(failure);
             nextFailure++;
         }
-        final List<FailureSchedule.Failure> ended =
-                open.stream().filter(failure -> failure.endSeconds() <= second).toList();
-        ended.forEach(
-                failure -> hit(failure).stream().filter(vm -> !vm.isRunning()).forEach(failure.kind()::end));
-        open.removeAll(ended);
+        final List<FailureSchedule.Failure> ended = activeFailures.stream()
+                .filter(failure -> failure.endSeconds() <= second)
+                .toList();
+        ended.forEach(failure ->
+                affectedVms(failure).stream().filter(vm -> !vm.isRunning()).forEach(failure.kind()::recover));
+        activeFailures.removeAll(ended);
     }
 
-    private List<VirtualVm> hit(FailureSchedule.Failure failure) {
-        final VirtualVm one = fleet.vms().get(failure.vm());
-        if (!failure.kind().hitsDomain()) {
-            return List.of(one);
+    private List<VirtualVm> affectedVms(FailureSchedule.Failure failure) {
+        final VirtualVm failedVm = fleet.vms().get(failure.vmIndex());
+        if (!failure.kind().affectsWholeDomain()) {
+            return List.of(failedVm);
         }
         return fleet.vms().stream()
-                .filter(vm -> vm.domain().equals(one.domain()))
+                .filter(vm -> vm.domain().equals(failedVm.domain()))
                 .toList();
     }
 
     private void measure(long second) {
         final List<FormedGroup> groups = fleet.servingGroups();
-        final Set<GroupName> now = new HashSet<>();
-        groups.forEach(group -> now.add(group.group()));
-        for (final GroupName group : now) {
-            final Long since = downSinceSeconds.remove(group);
-            downtimeSeconds += since == null ? 0 : second - since;
+        final Set<GroupName> servingNow = new HashSet<>();
+        groups.forEach(group -> servingNow.add(group.group()));
+        for (final GroupName group : servingNow) {
+            final Long sinceSeconds = downSinceSeconds.remove(group);
+            downtimeSeconds += sinceSeconds == null ? 0 : second - sinceSeconds;
         }
-        for (final GroupName group : serving) {
-            if (!now.contains(group)) {
+        for (final GroupName group : servingBefore) {
+            if (!servingNow.contains(group)) {
                 downSinceSeconds.put(group, second);
                 outages++;
             }
         }
-        serving.clear();
-        serving.addAll(now);
-        servingSeconds += groups.size();
-        fewestServing = Math.min(fewestServing, groups.size());
+        servingBefore.clear();
+        servingBefore.addAll(servingNow);
+        servingGroupSeconds += groups.size();
+        fewestServingGroups = Math.min(fewestServingGroups, groups.size());
         final long running = fleet.vms().stream().filter(VirtualVm::isRunning).count();
-        strandedSeconds += ACCELERATORS_PER_VM * Math.max(0, running - (long) groups.size() * VMS_PER_REPLICA);
+        strandedAcceleratorSeconds +=
+                ACCELERATORS_PER_VM * Math.max(0, running - (long) groups.size() * VMS_PER_REPLICA);
     }
 
-    private PlacementFigures figures(String name, int replicas, long seconds) {
+    private PlacementResult result(String plannerName, int replicas, long seconds) {
         final long endSecond = seconds + WARM_UP_SECONDS;
-        downSinceSeconds.values().forEach(since -> downtimeSeconds += endSecond - since);
-        return new PlacementFigures(
-                name,
+        downSinceSeconds.values().forEach(sinceSeconds -> downtimeSeconds += endSecond - sinceSeconds);
+        return new PlacementResult(
+                plannerName,
                 replicas,
                 schedule.failures().size(),
                 seconds,
                 outages,
                 downtimeSeconds,
                 outages == 0 ? 0 : (double) downtimeSeconds / outages,
-                strandedSeconds,
-                (double) strandedSeconds / seconds,
-                (double) servingSeconds / seconds,
-                fewestServing);
+                strandedAcceleratorSeconds,
+                (double) strandedAcceleratorSeconds / seconds,
+                (double) servingGroupSeconds / seconds,
+                fewestServingGroups);
     }
 
-    /** Returns a fleet in which that many groups were formed and serve, with as many domains as they need. */
-    static VirtualFleet formed(int groups) {
+    /**
+     * Returns a fleet in which the given number of groups are formed and serving, with as many fabric domains as they
+     * need.
+     */
+    static VirtualFleet formedFleet(int groups) {
         final int groupsPerDomain = VMS_PER_DOMAIN / VMS_PER_REPLICA;
         final int domains = (groups + groupsPerDomain - 1) / groupsPerDomain;
         final VirtualFleet fleet = new VirtualFleet(vms(domains), PlacementPlanner::plan);
-        fleet.declare(declared(groups, PlacementWeight.STRANDED_ACCELERATORS, 0));
+        fleet.declare(declaredSet(groups, PlacementWeight.STRANDED_ACCELERATORS, 0));
         while (fleet.servingGroups().size() < groups) {
             fleet.step(10 * SECOND_NANOS);
         }
@@ -172,7 +177,7 @@
         return AvailabilityZone.of("zone-" + number);
     }
 
-    private static DeclaredSet declared(int replicas, PlacementWeight weighs, int spares) {
+    private static DeclaredSet declaredSet(int replicas, PlacementWeight objective, int spares) {
         final List<AvailabilityZone> zones = List.of(zone(0), zone(1), zone(2));
         final ModelVersionName version = ModelVersionName.of("guide-1");
         final PoolDeclaration pool = new PoolDeclaration(
@@ -182,7 +187,7 @@
                 VMS_PER_REPLICA,
                 8,
                 2,
-                weighs,
+                objective,
                 spares,
                 true,
                 60_000,
--- a/src/main/java/org/wigeongrade/bench/PromptSource.java
+++ b/src/main/java/org/wigeongrade/bench/PromptSource.java
@@ -5,15 +5,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Makes prompts as blocks: guideline books that many requests share, some far more than others, and conversations that
- * go on. Not thread-safe.
+ * Generates prompts as lists of blocks. A prompt starts a conversation with one of a set of shared prefixes, some of
+ * which are far more common than others, or continues an earlier conversation. Not thread-safe.
  */
 final class PromptSource {
-    private static final int BOOKS = 60;
-    private static final int LEAST_BOOK_BLOCKS = 20;
-    private static final int MORE_BOOK_BLOCKS = 40;
+    private static final int SHARED_PREFIXES = 60;
+    private static final int MIN_PREFIX_BLOCKS = 20;
+    private static final int PREFIX_BLOCKS_RANGE = 40;
     private static final int OPEN_CONVERSATIONS = 200;
-    private static final double CONTINUED_PART = 0.5;
+    private static final double CONTINUED_RATIO = 0.5;
 
     private final RandomGenerator random;
     private final List<List<String>> conversations = new ArrayList<>();
@@ -24,32 +24,34 @@
     }
 
     List<String> next() {
-        boolean goesOn = !conversations.isEmpty() && random.nextDouble() < CONTINUED_PART;
-        int at = random.nextInt(OPEN_CONVERSATIONS);
-        List<String> prompt = goesOn ? new ArrayList<>(conversations.get(at % conversations.size())) : book();
-        int fresh = 1 + random.nextInt(6);
-        for (int i = 0; i < fresh; i++) {
+        boolean continuesConversation = !conversations.isEmpty() && random.nextDouble() < CONTINUED_RATIO;
+        int index = random.nextInt(OPEN_CONVERSATIONS);
+        List<String> prompt = continuesConversation
+                ? new ArrayList<>(conversations.get(index % conversations.size()))
+                : randomPrefix();
+        int newBlocks = 1 + random.nextInt(6);
+        for (int i = 0; i < newBlocks; i++) {
             prompt.add("u" + nextBlock++);
         }
-        remember(at, prompt);
+        storeConversation(index, prompt);
         return prompt;
     }
 
-    private void remember(int at, List<String> prompt) {
+    private void storeConversation(int index, List<String> prompt) {
         if (conversations.size() < OPEN_CONVERSATIONS) {
             conversations.add(prompt);
             return;
         }
-        conversations.set(at, prompt);
+        conversations.set(index, prompt);
     }
 
-    /** Picks a book; low numbers are picked far more often. */
-    private List<String> book() {
-        int book = (int) (BOOKS * Math.pow(random.nextDouble(), 2));
-        int blocks = LEAST_BOOK_BLOCKS + (book * 7) % MORE_BOOK_BLOCKS;
+    /** Returns the blocks of a random shared prefix; prefixes with low numbers are chosen far more often. */
+    private List<String> randomPrefix() {
+        int prefixNumber = (int) (SHARED_PREFIXES * Math.pow(random.nextDouble(), 2));
+        int blocks = MIN_PREFIX_BLOCKS + (prefixNumber * 7) % PREFIX_BLOCKS_RANGE;
         List<String> prompt = new ArrayList<>();
         for (int i = 0; i < blocks; i++) {
-            prompt.add("b" + book + "." + i);
+            prompt.add("b" + prefixNumber + "." + i);
         }
         return prompt;
     }
--- a/src/main/java/org/wigeongrade/bench/AnswerCollector.java
+++ b/src/main/java/org/wigeongrade/bench/ResponseCollector.java
@@ -7,28 +7,30 @@
 import java.util.concurrent.Flow;
 
 /**
- * Takes the lines of one answer, streamed or not, with the times at which tokens came.
+ * Collects the lines of one response, streamed or not, and the times at which its tokens arrived.
  *
- * <p>Lines come from one thread at a time. Safe for use from any thread.
+ *
+ * <p>Lines arrive from one thread at a time. Safe for use from any thread.
  */
-final class AnswerCollector implements Flow.Subscriber<String> {
-    private static final String DATA = "data: ";
+final class ResponseCollector implements Flow.Subscriber<String> {
+    private static final String DATA_PREFIX = "data: ";
 
     private final long startNanos;
     private final StringBuilder body = new StringBuilder();
     private final StringBuilder text = new StringBuilder();
     private final List<Long> gapsNanos = new ArrayList<>();
     private boolean streamed;
-    private boolean done;
-    private String error = "";
+    private boolean doneReceived;
+    private String errorCode = "";
     private long firstTokenNanos = -1;
     private long lastTokenNanos;
 
-    AnswerCollector(long startNanos) {
+    ResponseCollector(long startNanos) {
         this.startNanos = startNanos;
     }
 
-    HttpResponse.BodySubscriber<Void> handle(HttpResponse.ResponseInfo info) {
+    /** Returns a subscriber that passes each line of the response body to this collector. */
+    HttpResponse.BodySubscriber<Void> bodySubscriber(HttpResponse.ResponseInfo info) {
         synchronized (this) {
             streamed = info.headers().firstValue("Content-Type").orElse("").startsWith("text/event-stream");
         }
@@ -47,20 +49,20 @@
             body.append(line);
             return;
         }
-        if (!line.startsWith(DATA)) {
+        if (!line.startsWith(DATA_PREFIX)) {
             return;
         }
-        String data = line.substring(DATA.length());
+        String data = line.substring(DATA_PREFIX.length());
         if (data.equals("[DONE]")) {
-            done = true;
+            doneReceived = true;
             return;
         }
-        takeEvent(ModelClient.json(data));
+        onEvent(ModelClient.parseJson(data));
     }
 
-    private void takeEvent(JsonNode event) {
+    private void onEvent(JsonNode event) {
         if (event.has("error")) {
-            error = event.path("error").path("code").asText("error_event");
+            errorCode = event.path("error").path("code").asText("error_event");
             body.append(event);
             return;
         }
@@ -83,41 +85,41 @@
 
     @Override
     public void onError(Throwable failure) {
-        // The client's future reports the failure.
+        // The future returned by the HTTP client reports the failure.
     }
 
     @Override
     public void onComplete() {
-        // The client's future reports the end.
+        // The future returned by the HTTP client reports the end of the response.
     }
 
     synchronized String body() {
         return body.toString();
     }
 
-    /** Returns the code for an answer with status 200. */
-    synchronized String verdict(ModelCall call) {
-        if (!error.isEmpty()) {
-            return error;
+    /** Returns the result code of a response with status 200. */
+    synchronized String resultCode(ModelCall call) {
+        if (!errorCode.isEmpty()) {
+            return errorCode;
         }
-        if (streamed && !done) {
+        if (streamed && !doneReceived) {
             return "cut_short";
         }
-        return answerText().equals(call.expectedAnswer()) ? CallResult.OK : "wrong_answer";
+        return responseText().equals(call.expectedText()) ? CallResult.OK : "wrong_answer";
     }
 
-    private String answerText() {
+    private String responseText() {
         if (streamed) {
             return text.toString();
         }
-        JsonNode choice = ModelClient.json(body.toString()).path("choices").path(0);
+        JsonNode choice = ModelClient.parseJson(body.toString()).path("choices").path(0);
         return choice.has("message")
                 ? choice.path("message").path("content").asText("")
                 : choice.path("text").asText("");
     }
 
-    synchronized CallResult result(int status, String code, String claim, long retryAfterMs, long latencyNanos) {
+    synchronized CallResult toResult(int status, String code, String runClaim, long retryAfterMs, long latencyNanos) {
         return new CallResult(
-                status, code, claim, latencyNanos, firstTokenNanos, gapsNanos, retryAfterMs, answerText());
+                status, code, runClaim, latencyNanos, firstTokenNanos, gapsNanos, retryAfterMs, responseText());
     }
 }
--- a/src/main/java/org/wigeongrade/bench/RoutingBench.java
+++ b/src/main/java/org/wigeongrade/bench/RoutingBench.java
@@ -6,7 +6,7 @@
 import org.wigeongrade.decisions.routing.RoutingPolicy;
 
 /**
- * Measures each routing policy on the same load in virtual time and prints one line of JSON for each run. Arguments:
+ * Measures each routing policy under the same load in virtual time and prints one line of JSON for each run. Arguments:
  * seed, virtual seconds.
  */
 public final class RoutingBench {
--- a/src/main/java/org/wigeongrade/bench/RoutingResult.java
+++ b/src/main/java/org/wigeongrade/bench/RoutingResult.java
@@ -1,6 +1,8 @@
 package org.wigeongrade.bench;
 
-/** Figures of one run of {@link RoutingSimulation}; times in milliseconds. Immutable; safe for use from any thread. */
+/**
+ * Result of one run of {@link RoutingSimulation}; times are in milliseconds. Immutable; safe for use from any thread.
+ */
 public record RoutingResult(
         String policy,
         double loadFactor,
--- a/src/main/java/org/wigeongrade/bench/RoutingSimulation.java
+++ b/src/main/java/org/wigeongrade/bench/RoutingSimulation.java
@@ -27,8 +27,8 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Entry VMs that route prompts to engines with prefix caches, in virtual time. Each entry VM sees its own requests at
- * once, and the engines' load and cache events late and with gaps. Not thread-safe.
+ * Simulates entry VMs that route prompts to engines with prefix caches, in virtual time. Each entry VM sees its own
+ * requests immediately, but receives the load and cache events of the engines late and with gaps. Not thread-safe.
  */
 final class RoutingSimulation {
     private static final int ENTRY_VMS = 7;
@@ -36,52 +36,52 @@
     private static final int CAPACITY = 8;
     private static final int CACHE_BLOCKS = 300;
     private static final long PREFILL_BLOCK_NANOS = TimeUnit.MILLISECONDS.toNanos(12);
-    private static final long LEAST_DECODE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-    private static final long MORE_DECODE_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
+    private static final long MIN_DECODE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long DECODE_RANGE_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
     private static final long MEAN_RUN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
     private static final long REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-    private static final long COME_BACK_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long RETRY_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final long CALLER_DEADLINE_NANOS = TimeUnit.SECONDS.toNanos(10);
-    private static final double LOST_EVENTS_PART = 0.02;
+    private static final double LOST_EVENTS_RATIO = 0.02;
     private static final RouteTarget TARGET = RouteTarget.of(ModelVersionName.of("model-v1"));
 
     private final RoutingPolicy policy;
     private final double loadFactor;
     private final RandomGenerator random;
-    private final RandomGenerator arrivals;
+    private final RandomGenerator arrivalRandom;
     private final VirtualTime time = new VirtualTime();
     private final PromptSource prompts;
     private final List<SimulatedEngine> engines = new ArrayList<>();
-    private final List<Entry> entries = new ArrayList<>();
+    private final List<EntryVm> entryVms = new ArrayList<>();
     private final Histogram firstTokenMicros = new Histogram(3);
     private long offered;
     private long completed;
     private long refusals;
-    private long blocks;
+    private long promptBlocks;
     private long matchedBlocks;
     private double highestLoadOverMean;
 
-    /** One entry VM: what it knows and what it has in flight. */
-    private record Entry(NodeName name, Router router, PrefixIndex prefixes, Map<EndpointId, Integer> inFlight) {}
+    /** One entry VM with its view of the prefix caches and its requests in flight. */
+    private record EntryVm(NodeName name, Router router, PrefixIndex prefixes, Map<EndpointId, Integer> inFlight) {}
 
     RoutingSimulation(RoutingPolicy policy, double loadFactor, long seed) {
         this.policy = policy;
         this.loadFactor = loadFactor;
         this.random = new Random(seed);
-        this.arrivals = new Random(seed + 2);
+        this.arrivalRandom = new Random(seed + 2);
         this.prompts = new PromptSource(new Random(seed + 1));
         for (int i = 0; i < ENGINES; i++) {
             engines.add(new SimulatedEngine(i, CACHE_BLOCKS));
         }
         for (int i = 0; i < ENTRY_VMS; i++) {
             NodeName name = NodeName.of("entry-" + i);
-            entries.add(new Entry(name, new Router(policy), new PrefixIndex(CACHE_BLOCKS), new HashMap<>()));
+            entryVms.add(new EntryVm(name, new Router(policy), new PrefixIndex(CACHE_BLOCKS), new HashMap<>()));
         }
     }
 
     RoutingResult run(int virtualSeconds) {
-        engines.forEach(this::reportLater);
-        arriveLater();
+        engines.forEach(this::scheduleReport);
+        scheduleArrival();
         time.runUntil(TimeUnit.SECONDS.toNanos(virtualSeconds));
         return new RoutingResult(
                 policy.code(),
@@ -89,7 +89,7 @@
                 offered,
                 completed,
                 refusals,
-                rounded((double) matchedBlocks / Math.max(1, blocks)),
+                rounded((double) matchedBlocks / Math.max(1, promptBlocks)),
                 firstTokenMs(50),
                 firstTokenMs(95),
                 firstTokenMs(99),
@@ -104,76 +104,76 @@
         return Math.round(value * 1_000) / 1_000.0;
     }
 
-    private void reportLater(SimulatedEngine engine) {
+    private void scheduleReport(SimulatedEngine engine) {
         time.after(REPORT_NANOS, () -> {
             int running = engine.inFlight();
-            SimulatedEngine.Events events = engine.takeEvents();
-            time.after(random.nextLong(REPORT_NANOS), () -> engine.reported(running));
-            entries.forEach(entry -> publish(entry, engine, events));
-            trackBalance();
-            reportLater(engine);
+            SimulatedEngine.CacheEvents events = engine.drainEvents();
+            time.after(random.nextLong(REPORT_NANOS), () -> engine.setReportedInFlight(running));
+            entryVms.forEach(entryVm -> deliverCacheEvents(entryVm, engine, events));
+            recordImbalance();
+            scheduleReport(engine);
         });
     }
 
-    private void publish(Entry entry, SimulatedEngine engine, SimulatedEngine.Events events) {
-        if (random.nextDouble() < LOST_EVENTS_PART) {
+    private void deliverCacheEvents(EntryVm entryVm, SimulatedEngine engine, SimulatedEngine.CacheEvents events) {
+        if (random.nextDouble() < LOST_EVENTS_RATIO) {
             return;
         }
         time.after(
                 random.nextLong(2 * REPORT_NANOS),
-                () -> entry.prefixes().apply(engine.id, 1, events.firstSequence(), events.added(), events.removed()));
+                () -> entryVm.prefixes().apply(engine.id, 1, events.firstSequence(), events.added(), events.removed()));
     }
 
-    private void trackBalance() {
+    private void recordImbalance() {
         double mean =
                 engines.stream().mapToInt(SimulatedEngine::inFlight).average().orElse(0);
         int highest = engines.stream().mapToInt(SimulatedEngine::inFlight).max().orElse(0);
         highestLoadOverMean = Math.max(highestLoadOverMean, (highest - mean) / CAPACITY);
     }
 
-    private void arriveLater() {
-        double perNano = loadFactor * ENGINES * CAPACITY / MEAN_RUN_NANOS;
-        time.after((long) (-Math.log(1 - arrivals.nextDouble()) / perNano), () -> {
+    private void scheduleArrival() {
+        double arrivalsPerNano = loadFactor * ENGINES * CAPACITY / MEAN_RUN_NANOS;
+        time.after((long) (-Math.log(1 - arrivalRandom.nextDouble()) / arrivalsPerNano), () -> {
             offered++;
-            tryRoute(prompts.next(), time.nowNanos());
-            arriveLater();
+            route(prompts.next(), time.nowNanos());
+            scheduleArrival();
         });
     }
 
-    private void tryRoute(List<String> prompt, long arrivedNanos) {
+    private void route(List<String> prompt, long arrivedNanos) {
         if (time.nowNanos() - arrivedNanos > CALLER_DEADLINE_NANOS) {
             return;
         }
-        Entry entry = entries.get(random.nextInt(entries.size()));
-        RouteDecision decision = entry.router().choose(views(), context(entry, prompt), random);
+        EntryVm entryVm = entryVms.get(random.nextInt(entryVms.size()));
+        RouteDecision decision = entryVm.router().choose(endpointViews(), routeContext(entryVm, prompt), random);
         if (decision instanceof RouteDecision.Chosen chosen) {
-            send(entry, engine(chosen.endpoint().id()), prompt, arrivedNanos);
+            send(entryVm, engine(chosen.endpoint().id()), prompt, arrivedNanos);
             return;
         }
         refusals++;
-        time.after(COME_BACK_NANOS, () -> tryRoute(prompt, arrivedNanos));
+        time.after(RETRY_AFTER_NANOS, () -> route(prompt, arrivedNanos));
     }
 
-    private void send(Entry entry, SimulatedEngine engine, List<String> prompt, long arrivedNanos) {
-        entry.inFlight().merge(engine.id, 1, Integer::sum);
+    private void send(EntryVm entryVm, SimulatedEngine engine, List<String> prompt, long arrivedNanos) {
+        entryVm.inFlight().merge(engine.id, 1, Integer::sum);
         int matched = engine.begin(prompt);
-        blocks += prompt.size();
+        promptBlocks += prompt.size();
         matchedBlocks += matched;
         long prefillNanos = (prompt.size() - matched) * PREFILL_BLOCK_NANOS * (1 + engine.inFlight()) / CAPACITY;
         long firstTokenNanos = time.nowNanos() - arrivedNanos + prefillNanos;
         firstTokenMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(firstTokenNanos));
-        long decodeNanos = LEAST_DECODE_NANOS + random.nextLong(MORE_DECODE_NANOS);
+        long decodeNanos = MIN_DECODE_NANOS + random.nextLong(DECODE_RANGE_NANOS);
         time.after(prefillNanos + decodeNanos, () -> {
             engine.end();
-            entry.inFlight().merge(engine.id, -1, Integer::sum);
+            entryVm.inFlight().merge(engine.id, -1, Integer::sum);
             completed++;
         });
     }
 
-    private RouteContext context(Entry entry, List<String> prompt) {
+    private RouteContext routeContext(EntryVm entryVm, List<String> prompt) {
         RouteRequest request = new RouteRequest(
-                TARGET, prompt, 0, ImmutableSet.of(), AvailabilityZone.of("az-0"), entry.name(), false);
-        return new RouteContext(request, new FleetSlots(entry), entry.prefixes(), time.nowNanos());
+                TARGET, prompt, 0, ImmutableSet.of(), AvailabilityZone.of("az-0"), entryVm.name(), false);
+        return new RouteContext(request, new IdealSlotTable(entryVm), entryVm.prefixes(), time.nowNanos());
     }
 
     private SimulatedEngine engine(EndpointId id) {
@@ -183,7 +183,7 @@
                 .orElseThrow();
     }
 
-    private List<EndpointView> views() {
+    private List<EndpointView> endpointViews() {
         List<EndpointView> views = new ArrayList<>();
         for (int i = 0; i < engines.size(); i++) {
             SimulatedEngine engine = engines.get(i);
@@ -206,12 +206,12 @@
         return views;
     }
 
-    /** Slots as ideal shares would give them: a slot is free while the engine has one. */
-    private final class FleetSlots implements SlotTable {
-        private final Entry entry;
+    /** Slots as an ideal division into shares would grant them: a slot is free whenever the engine has a free one. */
+    private final class IdealSlotTable implements SlotTable {
+        private final EntryVm entryVm;
 
-        FleetSlots(Entry entry) {
-            this.entry = entry;
+        IdealSlotTable(EntryVm entryVm) {
+            this.entryVm = entryVm;
         }
 
         @Override
@@ -221,7 +221,7 @@
 
         @Override
         public int inFlight(EndpointId endpoint) {
-            return entry.inFlight().getOrDefault(endpoint, 0);
+            return entryVm.inFlight().getOrDefault(endpoint, 0);
         }
 
         @Override
--- a/src/main/java/org/wigeongrade/bench/ShareMechanism.java
+++ b/src/main/java/org/wigeongrade/bench/ShareMechanism.java
@@ -2,25 +2,25 @@
 
 import org.wigeongrade.decisions.limits.ShareBound;
 
-/** The shares as they are, and baselines that each lack one part of them. */
+/** The share mechanism itself, and baselines that each lack one rule of it. */
 public enum ShareMechanism {
     SHARES,
-    /** Each entry VM takes its equal part, one slot at least, and asks nobody. */
+    /** Each entry VM takes an equal number of slots, at least one, without asking the leader. */
     EQUAL_PARTS,
-    /** Slots of an expired holder come back at its deadline although its work may still run. */
+    /** The slots of an expired holder are granted again at its deadline, although its requests may still run. */
     RECLAIM_AT_DEADLINE,
-    /** A new leader gives out slots at once. */
+    /** A new leader grants slots at once, without waiting for the leases of the previous leader to expire. */
     NEW_LEADER_WAITS_FOR_NOTHING,
-    /** Entry VMs and the leader take no notice of cold signs. */
+    /** Entry VMs and the leader ignore cold signs. */
     COLD_SIGNS_IGNORED,
-    /** A request is sent although its slot expired while the process was frozen. */
+    /** A request is sent even if its slot expired while the process was frozen. */
     NO_CHECK_BEFORE_SEND;
 
     boolean asksLeader() {
         return this != EQUAL_PARTS;
     }
 
-    boolean noticesColdSigns() {
+    boolean reactsToColdSigns() {
         return this != COLD_SIGNS_IGNORED;
     }
 
@@ -28,7 +28,7 @@
         return this != NO_CHECK_BEFORE_SEND;
     }
 
-    ShareBound bound(int capacity, int coldCapacity, long longestRunNanos) {
+    ShareBound resourceLimit(int capacity, int coldCapacity, long longestRunNanos) {
         long reclaimAfterNanos = this == RECLAIM_AT_DEADLINE ? 0 : longestRunNanos;
         return new ShareBound(capacity, coldCapacity, reclaimAfterNanos);
     }
--- a/src/main/java/org/wigeongrade/bench/ShareResult.java
+++ b/src/main/java/org/wigeongrade/bench/ShareResult.java
@@ -1,9 +1,9 @@
 package org.wigeongrade.bench;
 
 /**
- * Counts of one run. {@code warmOverloads} are sends that made an endpoint run more than its capacity; {@code
- * coldOverloads} are sends to an endpoint cold for longer than the detection time that made it run more than its cold
- * capacity. Immutable; safe for use from any thread.
+ * Counts of one run. {@code warmOverloads} counts sends that made an endpoint run more requests than its capacity.
+ * {@code coldOverloads} counts sends that made an endpoint run more requests than its cold capacity although it had
+ * been cold for longer than the detection time. Immutable; safe for use from any thread.
  */
 public record ShareResult(
         long offered,
--- a/src/main/java/org/wigeongrade/bench/ShareScenario.java
+++ b/src/main/java/org/wigeongrade/bench/ShareScenario.java
@@ -1,11 +1,11 @@
 package org.wigeongrade.bench;
 
 /**
- * One run of {@link ShareSimulation}: sizes, load and faults. {@code loadFactor} is the offered load as part of what warm
- * endpoints can bear. {@code skewed} sends most load to one entry VM. {@code betweenFaultsMs} is the mean time between
- * faults, which kill or freeze entry VMs or change the leader; with any, messages are lost and late too. {@code
- * betweenColdStartsMs} is the mean time between endpoints that turn cold without warning. 0 means none. Immutable; safe
- * for use from any thread.
+ * One run of {@link ShareSimulation}: sizes, load and faults. {@code loadFactor} is the offered load as a ratio of what
+ * warm endpoints can serve. {@code skewed} sends most of the load to one entry VM. {@code meanFaultIntervalMs} is the
+ * mean time between faults, which kill or freeze entry VMs or change the leader; if there are faults, messages are also
+ * lost or delayed. {@code meanColdStartIntervalMs} is the mean time between unannounced cold starts of endpoints. An
+ * interval of 0 means no such faults or cold starts. Immutable; safe for use from any thread.
  */
 public record ShareScenario(
         long seed,
@@ -16,10 +16,10 @@
         int coldCapacity,
         double loadFactor,
         boolean skewed,
-        long betweenFaultsMs,
-        long betweenColdStartsMs,
+        long meanFaultIntervalMs,
+        long meanColdStartIntervalMs,
         int virtualSeconds) {
     boolean hasFaults() {
-        return betweenFaultsMs > 0;
+        return meanFaultIntervalMs > 0;
     }
 }
--- a/src/main/java/org/wigeongrade/bench/ShareSimulation.java
+++ b/src/main/java/org/wigeongrade/bench/ShareSimulation.java
@@ -15,8 +15,8 @@
 import org.wigeongrade.decisions.limits.Warmth;
 
 /**
- * Entry VMs, a leader and endpoints in virtual time, with seeded faults; counts each send that gives an endpoint more
- * than it can bear. Not thread-safe.
+ * Simulates entry VMs, a leader and endpoints in virtual time, with faults derived from a seed, and counts each send
+ * that overloads an endpoint. Not thread-safe.
  */
 public final class ShareSimulation {
     static final long LEASE_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -24,8 +24,8 @@
     private static final long REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
     private static final long ANNOUNCE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final long MEAN_RUN_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
-    private static final double GREATEST_DRIFT = 0.004;
-    private static final double SKEWED_PART = 0.7;
+    private static final double MAX_CLOCK_DRIFT = 0.004;
+    private static final double SKEWED_RATIO = 0.7;
 
     private final ShareScenario scenario;
     private final RandomGenerator random;
@@ -33,8 +33,8 @@
     private final SimulatedNetwork network;
     private final List<SimulatedEntryVm> entryVms = new ArrayList<>();
     private final List<SimulatedEndpoint> endpoints = new ArrayList<>();
-    private final ShareFaults faults;
-    private ShareLedger ledger;
+    private final ShareFaultInjector faults;
+    private ShareLedger allocator;
     private long term;
     private long offered;
     private long sent;
@@ -49,32 +49,32 @@
         this.random = new Random(scenario.seed());
         this.network = new SimulatedNetwork(time, random, scenario.hasFaults());
         for (int i = 0; i < scenario.entryVms(); i++) {
-            double speed = 1 + (random.nextDouble() * 2 - 1) * GREATEST_DRIFT;
+            double speed = 1 + (random.nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
             entryVms.add(new SimulatedEntryVm(i, random.nextLong(1_000_000_000_000L), speed));
         }
         for (int i = 0; i < scenario.endpoints(); i++) {
             endpoints.add(new SimulatedEndpoint(i, scenario.capacity(), scenario.coldCapacity()));
         }
-        this.faults = new ShareFaults(scenario, time, random, entryVms, endpoints, this::changeLeader);
+        this.faults = new ShareFaultInjector(scenario, time, random, entryVms, endpoints, this::changeLeader);
     }
 
-    /** Runs one scenario from its seed. */
+    /** Runs one scenario; equal scenarios give equal results. */
     public static ShareResult run(ShareScenario scenario) {
         return new ShareSimulation(scenario).run();
     }
 
     private ShareResult run() {
         startLeader(-10 * LONGEST_RUN_NANOS);
-        entryVms.forEach(this::reportLater);
-        endpoints.forEach(this::announceLater);
-        faults.begin();
-        arriveLater();
+        entryVms.forEach(this::scheduleReport);
+        endpoints.forEach(this::scheduleAnnouncement);
+        faults.start();
+        scheduleArrival();
         time.runUntil(TimeUnit.SECONDS.toNanos(scenario.virtualSeconds()));
         return result();
     }
 
     private ShareResult result() {
-        int highest = endpoints.stream()
+        int highestInFlight = endpoints.stream()
                 .mapToInt(SimulatedEndpoint::highestInFlight)
                 .max()
                 .orElse(0);
@@ -85,7 +85,7 @@
                 warmOverloads,
                 coldOverloads,
                 coldSends,
-                highest,
+                highestInFlight,
                 ledgerOverBound,
                 term - 1,
                 faults.entryVmFaults(),
@@ -94,12 +94,12 @@
 
     private void startLeader(long olderLeasesEndNanos) {
         term++;
-        ledger = new ShareLedger(LEASE_NANOS, olderLeasesEndNanos);
+        allocator = new ShareLedger(LEASE_NANOS, olderLeasesEndNanos);
         for (SimulatedEndpoint endpoint : endpoints) {
-            Warmth warmth = endpoint.isCold() && scenario.mechanism().noticesColdSigns() ? Warmth.COLD : Warmth.WARM;
-            ledger.setBound(
+            Warmth warmth = endpoint.isCold() && scenario.mechanism().reactsToColdSigns() ? Warmth.COLD : Warmth.WARM;
+            allocator.setBound(
                     endpoint.key,
-                    scenario.mechanism().bound(scenario.capacity(), scenario.coldCapacity(), LONGEST_RUN_NANOS),
+                    scenario.mechanism().resourceLimit(scenario.capacity(), scenario.coldCapacity(), LONGEST_RUN_NANOS),
                     warmth);
         }
     }
@@ -108,22 +108,26 @@
         startLeader(scenario.mechanism().olderLeasesEndNanos(time.nowNanos(), LEASE_NANOS));
     }
 
-    /** Runs an action of one process life, when it is not frozen. */
-    private void onEntryVm(SimulatedEntryVm entryVm, long incarnation, Runnable action) {
+    /**
+     * Runs an action on an entry VM, after the VM is no longer frozen. Drops the action if the process that it belongs
+     * to is dead or was restarted.
+     */
+    private void runOnEntryVm(SimulatedEntryVm entryVm, long incarnation, Runnable action) {
         if (entryVm.isDead() || entryVm.incarnation() != incarnation) {
             return;
         }
         if (entryVm.isFrozen(time.nowNanos())) {
-            time.after(entryVm.frozenUntilNanos() - time.nowNanos(), () -> onEntryVm(entryVm, incarnation, action));
+            time.after(entryVm.frozenUntilNanos() - time.nowNanos(), () -> runOnEntryVm(entryVm, incarnation, action));
             return;
         }
         action.run();
     }
 
-    private void reportLater(SimulatedEntryVm entryVm) {
+    private void scheduleReport(SimulatedEntryVm entryVm) {
         time.after(REPORT_NANOS / 2 + random.nextLong(REPORT_NANOS), () -> {
-            onEntryVm(entryVm, entryVm.incarnation(), () -> endpoints.forEach(at -> report(entryVm, at.key)));
-            reportLater(entryVm);
+            runOnEntryVm(
+                    entryVm, entryVm.incarnation(), () -> endpoints.forEach(endpoint -> report(entryVm, endpoint.key)));
+            scheduleReport(entryVm);
         });
     }
 
@@ -133,63 +137,68 @@
         }
         long sentNanos = entryVm.clockNanos(time.nowNanos());
         long incarnation = entryVm.incarnation();
-        long toTerm = term;
+        long termAtSend = term;
         ShareReport report = entryVm.shares().report(key, sentNanos);
         network.send(() -> {
-            if (term != toTerm) {
+            if (term != termAtSend) {
                 return;
             }
-            Optional<ShareGrant> grant = ledger.report(entryVm.name, incarnation, report, time.nowNanos());
-            countLedger(key);
-            grant.ifPresent(given -> network.send(() -> onEntryVm(
-                    entryVm, incarnation, () -> entryVm.shares().applyGrant(given, given.deadlineNanos(sentNanos)))));
+            Optional<ShareGrant> grant = allocator.report(entryVm.name, incarnation, report, time.nowNanos());
+            countOverAllocation(key);
+            grant.ifPresent(shareGrant -> network.send(() -> runOnEntryVm(
+                    entryVm,
+                    incarnation,
+                    () -> entryVm.shares().applyGrant(shareGrant, shareGrant.deadlineNanos(sentNanos)))));
         });
     }
 
-    private void countLedger(ShareKey key) {
-        if (ledger.chargedSlots(key, time.nowNanos()) > scenario.capacity()) {
+    private void countOverAllocation(ShareKey key) {
+        if (allocator.chargedSlots(key, time.nowNanos()) > scenario.capacity()) {
             ledgerOverBound++;
         }
     }
 
-    private void announceLater(SimulatedEndpoint endpoint) {
+    private void scheduleAnnouncement(SimulatedEndpoint endpoint) {
         time.after(ANNOUNCE_NANOS, () -> {
             announce(endpoint);
-            announceLater(endpoint);
+            scheduleAnnouncement(endpoint);
         });
     }
 
     private void announce(SimulatedEndpoint endpoint) {
-        long madeNanos = time.nowNanos();
+        long announcedNanos = time.nowNanos();
         int running = endpoint.inFlight();
         boolean cold = endpoint.isCold();
         SimulatedEntryVm receiver = entryVms.get(random.nextInt(entryVms.size()));
-        network.send(() -> onEntryVm(receiver, receiver.incarnation(), () -> {
-            network.send(() -> announcedToLeader(endpoint, running, cold, madeNanos));
+        network.send(() -> runOnEntryVm(receiver, receiver.incarnation(), () -> {
+            network.send(() -> applyAnnouncement(endpoint, running, cold, announcedNanos));
             if (cold) {
-                coldSignSeen(receiver, endpoint);
+                spreadColdSign(receiver, endpoint);
             }
         }));
     }
 
-    private void announcedToLeader(SimulatedEndpoint endpoint, int running, boolean cold, long madeNanos) {
-        endpoint.announced(time.nowNanos());
-        ledger.endpointReport(endpoint.key, running, madeNanos, time.nowNanos());
-        if (cold && scenario.mechanism().noticesColdSigns()) {
-            ledger.coldSign(endpoint.key);
+    private void applyAnnouncement(SimulatedEndpoint endpoint, int running, boolean cold, long announcedNanos) {
+        endpoint.extendServingLease(time.nowNanos());
+        allocator.endpointReport(endpoint.key, running, announcedNanos, time.nowNanos());
+        if (cold && scenario.mechanism().reactsToColdSigns()) {
+            allocator.coldSign(endpoint.key);
         }
     }
 
-    /** The entry VM that saw the sign drops its share and tells the others and the leader. */
-    private void coldSignSeen(SimulatedEntryVm seer, SimulatedEndpoint endpoint) {
-        if (!scenario.mechanism().noticesColdSigns()) {
+    /**
+     * Handles a cold sign: the entry VM that received it drops its share and informs the leader and the other entry
+     * VMs.
+     */
+    private void spreadColdSign(SimulatedEntryVm receiver, SimulatedEndpoint endpoint) {
+        if (!scenario.mechanism().reactsToColdSigns()) {
             return;
         }
-        seer.shares().coldSign(endpoint.key);
-        report(seer, endpoint.key);
+        receiver.shares().coldSign(endpoint.key);
+        report(receiver, endpoint.key);
         for (SimulatedEntryVm other : entryVms) {
-            if (other != seer) {
-                network.send(() -> onEntryVm(other, other.incarnation(), () -> {
+            if (other != receiver) {
+                network.send(() -> runOnEntryVm(other, other.incarnation(), () -> {
                     other.shares().coldSign(endpoint.key);
                     report(other, endpoint.key);
                 }));
@@ -197,20 +206,21 @@
         }
     }
 
-    private void arriveLater() {
-        double perSecond = scenario.loadFactor() * scenario.capacity() * scenario.endpoints() / (MEAN_RUN_NANOS / 1e9);
-        time.after((long) (-Math.log(1 - random.nextDouble()) * 1e9 / perSecond), () -> {
-            arrive();
-            arriveLater();
+    private void scheduleArrival() {
+        double arrivalsPerSecond =
+                scenario.loadFactor() * scenario.capacity() * scenario.endpoints() / (MEAN_RUN_NANOS / 1e9);
+        time.after((long) (-Math.log(1 - random.nextDouble()) * 1e9 / arrivalsPerSecond), () -> {
+            handleArrival();
+            scheduleArrival();
         });
     }
 
-    private void arrive() {
+    private void handleArrival() {
         offered++;
-        boolean toFirst = scenario.skewed() && random.nextDouble() < SKEWED_PART;
+        boolean toFirst = scenario.skewed() && random.nextDouble() < SKEWED_RATIO;
         SimulatedEntryVm entryVm = entryVms.get(toFirst ? 0 : random.nextInt(entryVms.size()));
         int start = random.nextInt(endpoints.size());
-        onEntryVm(entryVm, entryVm.incarnation(), () -> {
+        runOnEntryVm(entryVm, entryVm.incarnation(), () -> {
             for (int i = 0; i < endpoints.size(); i++) {
                 if (trySend(entryVm, endpoints.get((start + i) % endpoints.size()))) {
                     return;
@@ -228,7 +238,7 @@
         ShareHolder shares = entryVm.shares();
         time.after(
                 random.nextLong(1_000_000),
-                () -> onEntryVm(entryVm, entryVm.incarnation(), () -> {
+                () -> runOnEntryVm(entryVm, entryVm.incarnation(), () -> {
                     boolean expired =
                             entryVm.clockNanos(time.nowNanos()) >= slot.get().deadlineNanos()
                                     || !endpoint.isServing(time.nowNanos());
@@ -245,9 +255,9 @@
         ShareHolder shares = entryVm.shares();
         long clockNanos = entryVm.clockNanos(time.nowNanos());
         if (!scenario.mechanism().asksLeader()) {
-            int part = Math.max(1, scenario.capacity() / scenario.entryVms());
+            int equalShare = Math.max(1, scenario.capacity() / scenario.entryVms());
             ShareReport report = shares.report(key, clockNanos);
-            shares.applyGrant(new ShareGrant(key, report.sequence(), part, part, 0, 0), Long.MAX_VALUE / 2);
+            shares.applyGrant(new ShareGrant(key, report.sequence(), equalShare, equalShare, 0, 0), Long.MAX_VALUE / 2);
         }
         return shares.tryAcquire(key, clockNanos);
     }
@@ -257,27 +267,27 @@
         endpoint.begin();
         boolean coldAtSend = endpoint.isCold();
         countOverload(endpoint);
-        double slowness = coldAtSend ? 2 : 1;
-        long runNanos = (long) (-Math.log(1 - random.nextDouble()) * MEAN_RUN_NANOS * slowness);
+        double runTimeFactor = coldAtSend ? 2 : 1;
+        long runNanos = (long) (-Math.log(1 - random.nextDouble()) * MEAN_RUN_NANOS * runTimeFactor);
         long incarnation = entryVm.incarnation();
         time.after(Math.min(runNanos, LONGEST_RUN_NANOS / 2), () -> {
             endpoint.end();
             completed++;
             network.sendReliably(
-                    () -> onEntryVm(entryVm, incarnation, () -> answered(entryVm, endpoint, slot, coldAtSend)));
+                    () -> runOnEntryVm(entryVm, incarnation, () -> onResponse(entryVm, endpoint, slot, coldAtSend)));
         });
     }
 
     private void countOverload(SimulatedEndpoint endpoint) {
         warmOverloads += endpoint.isOverCapacity() ? 1 : 0;
         coldSends += endpoint.isCold() ? 1 : 0;
-        boolean known = endpoint.isColdLongerThan(faults.detectionNanos(), time.nowNanos());
-        coldOverloads += known && endpoint.isOverColdCapacity() ? 1 : 0;
+        boolean coldDetected = endpoint.isColdLongerThan(faults.coldDetectionNanos(), time.nowNanos());
+        coldOverloads += coldDetected && endpoint.isOverColdCapacity() ? 1 : 0;
     }
 
-    private void answered(SimulatedEntryVm entryVm, SimulatedEndpoint endpoint, Slot slot, boolean cold) {
+    private void onResponse(SimulatedEntryVm entryVm, SimulatedEndpoint endpoint, Slot slot, boolean coldAtSend) {
         entryVm.shares().release(slot);
-        if (cold && scenario.mechanism().noticesColdSigns()) {
+        if (coldAtSend && scenario.mechanism().reactsToColdSigns()) {
             entryVm.shares().completedCold(slot);
             report(entryVm, endpoint.key);
             return;
--- a/src/main/java/org/wigeongrade/bench/SimulatedEndpoint.java
+++ b/src/main/java/org/wigeongrade/bench/SimulatedEndpoint.java
@@ -4,12 +4,15 @@
 import org.wigeongrade.decisions.limits.ShareKey;
 import org.wigeongrade.ids.EndpointId;
 
-/** An endpoint of {@link ShareSimulation}: counts what it runs and when it turned cold. Not thread-safe. */
+/**
+ * An endpoint of {@link ShareSimulation}; counts its requests in flight and tracks when it turned cold. Not
+ * thread-safe.
+ */
 final class SimulatedEndpoint {
-    /** Life of the serving lease after an announcement, in nanoseconds. */
+    /** Duration of the serving lease after an announcement, in nanoseconds. */
     static final long SERVING_LEASE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    private static final int ANSWERS_TO_WARM_UP = 6;
+    private static final int RESPONSES_TO_WARM_UP = 6;
 
     final EndpointId id;
     final ShareKey key;
@@ -20,7 +23,7 @@
     private boolean cold;
     private long coldSinceNanos;
     private long servingDeadlineNanos;
-    private int answersUntilWarm;
+    private int responsesUntilWarm;
 
     SimulatedEndpoint(int number, int capacity, int coldCapacity) {
         this.id = EndpointId.of("endpoint-" + number);
@@ -53,8 +56,8 @@
         return inFlight > coldCapacity;
     }
 
-    /** Extends the serving lease, as an announcement does when the leader hears it. */
-    void announced(long nowNanos) {
+    /** Extends the serving lease, as the leader does when it receives an announcement. */
+    void extendServingLease(long nowNanos) {
         servingDeadlineNanos = nowNanos + SERVING_LEASE_NANOS;
     }
 
@@ -65,7 +68,7 @@
     void turnCold(long nowNanos) {
         cold = true;
         coldSinceNanos = nowNanos;
-        answersUntilWarm = ANSWERS_TO_WARM_UP;
+        responsesUntilWarm = RESPONSES_TO_WARM_UP;
     }
 
     void begin() {
@@ -75,7 +78,7 @@
 
     void end() {
         inFlight--;
-        if (cold && --answersUntilWarm <= 0) {
+        if (cold && --responsesUntilWarm <= 0) {
             cold = false;
         }
     }
--- a/src/main/java/org/wigeongrade/bench/SimulatedEngine.java
+++ b/src/main/java/org/wigeongrade/bench/SimulatedEngine.java
@@ -8,12 +8,12 @@
 import org.wigeongrade.ids.EndpointId;
 
 /**
- * An engine of {@link RoutingSimulation} with a prefix cache of limited size, least recently used blocks leaving first.
- * Not thread-safe.
+ * An engine of {@link RoutingSimulation} with a prefix cache of limited size that evicts the least recently used
+ * blocks. Not thread-safe.
  */
 final class SimulatedEngine {
-    /** Cache events that wait to be published. */
-    record Events(long firstSequence, List<String> added, List<String> removed) {}
+    /** Cache events that have not been published yet. */
+    record CacheEvents(long firstSequence, List<String> added, List<String> removed) {}
 
     final EndpointId id;
     private final int cacheBlocks;
@@ -37,19 +37,19 @@
         return reportedInFlight;
     }
 
-    void reported(int running) {
+    void setReportedInFlight(int running) {
         reportedInFlight = running;
     }
 
-    /** Begins a request and returns how many leading blocks of its prompt were in the cache. */
+    /** Begins a request and returns the number of leading blocks of its prompt that were in the cache. */
     int begin(List<String> blocks) {
         inFlight++;
         int matched = 0;
         while (matched < blocks.size() && cache.get(blocks.get(matched)) != null) {
             matched++;
         }
-        blocks.forEach(this::keep);
-        evict();
+        blocks.forEach(this::cacheBlock);
+        evictOldest();
         return matched;
     }
 
@@ -57,22 +57,22 @@
         inFlight--;
     }
 
-    Events takeEvents() {
-        Events events = new Events(nextSequence, List.copyOf(added), List.copyOf(removed));
+    CacheEvents drainEvents() {
+        CacheEvents events = new CacheEvents(nextSequence, List.copyOf(added), List.copyOf(removed));
         nextSequence += added.size() + removed.size();
         added.clear();
         removed.clear();
         return events;
     }
 
-    private void keep(String block) {
+    private void cacheBlock(String block) {
         if (cache.put(block, Boolean.TRUE) == null) {
             removed.remove(block);
             added.add(block);
         }
     }
 
-    private void evict() {
+    private void evictOldest() {
         Iterator<String> oldest = cache.keySet().iterator();
         while (cache.size() > cacheBlocks) {
             String block = oldest.next();
--- a/src/main/java/org/wigeongrade/bench/SimulatedEntryVm.java
+++ b/src/main/java/org/wigeongrade/bench/SimulatedEntryVm.java
@@ -4,8 +4,8 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * An entry VM of {@link ShareSimulation}: its shares, its clock that runs at its own speed, and whether it runs. Not
- * thread-safe.
+ * An entry VM of {@link ShareSimulation}: its shares, its clock, which runs at its own speed, and whether it is dead or
+ * frozen. Not thread-safe.
  */
 final class SimulatedEntryVm {
     final NodeName name;
@@ -46,7 +46,7 @@
         return frozenUntilNanos;
     }
 
-    void die() {
+    void kill() {
         dead = true;
     }
 
--- a/src/main/java/org/wigeongrade/bench/VirtualFleet.java
+++ b/src/main/java/org/wigeongrade/bench/VirtualFleet.java
@@ -18,12 +18,13 @@
 import org.wigeongrade.ids.ChangeId;
 
 /**
- * One leader's control state and planner beside virtual engine VMs, in virtual time.
+ * The control state and the planner of one leader, together with virtual engine VMs, in virtual time.
  *
- * <p>Invariant: the course of events depends on the calls alone. Not thread safe.
+ *
+ * <p>Invariant: the sequence of events depends only on the method calls. Not thread-safe.
  */
 public final class VirtualFleet {
-    /** How long an announcement counts, in nanoseconds. */
+    /** How long an announcement is valid, in nanoseconds. */
     public static final long LEASE_NANOS = 3_000_000_000L;
 
     private final List<VirtualVm> vms;
@@ -36,34 +37,35 @@
     private long nowNanos;
     private long term = 1;
     private long membersKnownAtNanos;
-    private long changes;
+    private long changeCount;
 
     public VirtualFleet(List<VirtualVm> vms, Function<PlacementInput, List<PlacementAction>> planner) {
         this.vms = List.copyOf(vms);
         this.planner = planner;
     }
 
-    /** Declares a set on top of the current revision. */
-    public CommandResult declare(DeclaredSet set) {
-        return apply(new Command.ApplyConfiguration(nextChange(), "operator", state.revision(), set, nowEpochMs()));
+    /** Applies a declared set on top of the current revision. */
+    public CommandResult declare(DeclaredSet declaredSet) {
+        return apply(new Command.ApplyConfiguration(
+                nextChangeId(), "operator", state.revision(), declaredSet, nowEpochMs()));
     }
 
-    /** Takes an availability zone out or in. */
+    /** Takes an availability zone out of service or back into service. */
     public CommandResult setZone(AvailabilityZone zone, ZoneState zoneState) {
-        return apply(new Command.SetZoneState(nextChange(), "operator", zone, zoneState, nowEpochMs()));
+        return apply(new Command.SetZoneState(nextChangeId(), "operator", zone, zoneState, nowEpochMs()));
     }
 
-    private ChangeId nextChange() {
-        changes++;
-        return ChangeId.of("change-" + changes);
+    private ChangeId nextChangeId() {
+        changeCount++;
+        return ChangeId.of("change-" + changeCount);
     }
 
-    /** Commits a command, as a sender does that may have committed it before. */
+    /** Commits a command, as a sender does that may already have committed it. */
     public CommandResult propose(Command command) {
         return apply(command);
     }
 
-    /** Commits the commands of a plan that was made from another state, as a leader that lags would. */
+    /** Commits the commands of a plan made from another state, as a lagging leader would. */
     public void proposePlanOf(ControlState other) {
         term++;
         final PlacementInput input = PlacementInput.of(
@@ -71,7 +73,7 @@
         planner.apply(input).forEach(this::commit);
     }
 
-    /** Replaces the leader: a new term, a state restored from a snapshot and no announcements. */
+    /** Replaces the leader: starts a new term with the state restored from a snapshot and without announcements. */
     public void changeLeader() {
         term++;
         state = ControlState.restore(state.snapshot());
@@ -79,14 +81,14 @@
         membersKnownAtNanos = nowNanos + LEASE_NANOS;
     }
 
-    /** Moves time on, takes in announcements, makes one plan and carries it out. */
+    /** Advances the time, records announcements, makes one plan and executes it. */
     public void step(long stepNanos) {
         nowNanos += stepNanos;
         vms.forEach(vm -> vm.announce(nowNanos, LEASE_NANOS).ifPresent(announcements::record));
         lastPlan.clear();
         lastPlan.addAll(planner.apply(PlacementInput.of(
                 state, announcements, term, nowNanos, nowEpochMs(), membersKnownAtNanos, membersKnownAtNanos)));
-        lastPlan.forEach(this::carryOut);
+        lastPlan.forEach(this::execute);
     }
 
     private void commit(PlacementAction action) {
@@ -98,12 +100,12 @@
         }
     }
 
-    private void carryOut(PlacementAction action) {
+    private void execute(PlacementAction action) {
         commit(action);
         if (action instanceof PlacementAction.SendOrder send) {
             vms.stream()
                     .filter(vm -> vm.name().equals(send.order().vm().vm()))
-                    .forEach(vm -> vm.order(send.order(), nowNanos));
+                    .forEach(vm -> vm.handleOrder(send.order(), nowNanos));
         }
     }
 
@@ -132,7 +134,7 @@
         return announcements;
     }
 
-    /** Returns every command so far, in the order of the log. */
+    /** Returns all commands committed so far, in log order. */
     public List<Command> log() {
         return List.copyOf(log);
     }
--- a/src/main/java/org/wigeongrade/bench/VirtualTime.java
+++ b/src/main/java/org/wigeongrade/bench/VirtualTime.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Runs events in the order of their virtual time, in nanoseconds; events of one time run in the order in which they were
- * added. Not thread-safe.
+ * Runs events in the order of their virtual time, in nanoseconds; events with equal times run in the order in which
+ * they were added. Not thread-safe.
  */
 public final class VirtualTime {
     private final PriorityQueue<Event> events =
@@ -19,12 +19,12 @@
         return nowNanos;
     }
 
-    /** Runs the action after a delay in nanoseconds. */
+    /** Schedules the action to run after a delay in nanoseconds; a negative delay counts as 0. */
     public void after(long delayNanos, Runnable action) {
         events.add(new Event(nowNanos + Math.max(0, delayNanos), nextNumber++, action));
     }
 
-    /** Runs all events up to the given time. */
+    /** Runs all events due up to and including {@code endNanos}, then sets the time to {@code endNanos}. */
     public void runUntil(long endNanos) {
         while (!events.isEmpty() && events.peek().atNanos() <= endNanos) {
             Event event = events.poll();
--- a/src/main/java/org/wigeongrade/bench/VirtualVm.java
+++ b/src/main/java/org/wigeongrade/bench/VirtualVm.java
@@ -14,9 +14,12 @@
 import org.wigeongrade.ids.VmName;
 
 /**
- * An engine VM in virtual time: it follows orders, loads for a fixed time and can be stopped and started.
+ * An engine VM in virtual time: it executes orders, takes a fixed time to load a model and can be stopped and
+ * restarted.
  *
- * <p>Invariant: follows no order with a token older than the last one it followed. Not thread safe.
+ *
+ * <p>Invariant: it never executes an order whose fencing token is older than that of the last order it executed. Not
+ * thread-safe.
  */
 public final class VirtualVm {
     private final VmName name;
@@ -26,11 +29,11 @@
     private final long loadNanos;
 
     private long incarnation = 1;
-    private long sequence;
+    private long announcementSequence;
     private boolean running = true;
-    private FencingToken followed = FencingToken.NONE;
+    private FencingToken lastFencingToken = FencingToken.NONE;
     private Optional<GroupName> group = Optional.empty();
-    private Optional<ModelVersionName> loaded = Optional.empty();
+    private Optional<ModelVersionName> loadedVersion = Optional.empty();
     private long loadedAtNanos;
     private long announcedAtNanos = Long.MIN_VALUE;
 
@@ -46,12 +49,12 @@
         return name;
     }
 
-    /** Returns the VM with the incarnation of its process. */
+    /** Returns the name of the VM with the incarnation of its process. */
     public VmIncarnation identity() {
         return new VmIncarnation(name, incarnation);
     }
 
-    /** Returns when the VM announced itself last, in nanoseconds of virtual time. */
+    /** Returns the time of the last announcement of the VM, in nanoseconds of virtual time. */
     public long announcedAtNanos() {
         return announcedAtNanos;
     }
@@ -64,34 +67,37 @@
         return running;
     }
 
-    /** Stops the VM; it announces nothing until it is started or resumed. */
+    /** Stops the VM; it sends no announcements until it is resumed or restarted. */
     public void stop() {
         running = false;
     }
 
-    /** Goes on after {@link #stop} as the same process. */
+    /** Resumes the VM after {@link #stop} as the same process. */
     public void resume() {
         running = true;
     }
 
-    /** Starts a new process: a new incarnation in no group. */
+    /** Starts a new process, with a new incarnation and in no group. */
     public void restart() {
         running = true;
         incarnation++;
-        sequence = 0;
-        followed = FencingToken.NONE;
+        announcementSequence = 0;
+        lastFencingToken = FencingToken.NONE;
         group = Optional.empty();
-        loaded = Optional.empty();
+        loadedVersion = Optional.empty();
     }
 
-    /** Follows an order unless it is meant for another incarnation or carries an old token. */
-    public void order(Order order, long nowNanos) {
+    /**
+     * Executes an order unless the VM is stopped, the order is meant for another incarnation or its fencing token is
+     * old.
+     */
+    public void handleOrder(Order order, long nowNanos) {
         if (!running
                 || order.vm().incarnation() != incarnation
-                || order.fencingToken().compareTo(followed) < 0) {
+                || order.fencingToken().compareTo(lastFencingToken) < 0) {
             return;
         }
-        followed = order.fencingToken();
+        lastFencingToken = order.fencingToken();
         switch (order.kind()) {
             case JOIN -> join(order, nowNanos);
             case LEAVE -> group = Optional.empty();
@@ -99,13 +105,13 @@
     }
 
     private void join(Order order, long nowNanos) {
-        final boolean holdsVersion = loaded.equals(order.modelVersion()) && loadedAtNanos - nowNanos <= 0;
+        final boolean alreadyLoaded = loadedVersion.equals(order.modelVersion()) && loadedAtNanos - nowNanos <= 0;
         group = Optional.of(order.group());
-        loaded = order.modelVersion();
-        loadedAtNanos = holdsVersion ? nowNanos : nowNanos + loadNanos;
+        loadedVersion = order.modelVersion();
+        loadedAtNanos = alreadyLoaded ? nowNanos : nowNanos + loadNanos;
     }
 
-    /** Returns what the VM announces now, or empty while it is stopped. */
+    /** Returns the current announcement of the VM, or empty while it is stopped. */
     public Optional<Announcement> announce(long nowNanos, long leaseNanos) {
         if (!running) {
             return Optional.empty();
@@ -120,16 +126,16 @@
                 EndpointKind.ENGINE,
                 Optional.empty(),
                 group,
-                followed,
-                loaded,
-                state(nowNanos),
+                lastFencingToken,
+                loadedVersion,
+                endpointState(nowNanos),
                 0,
                 0,
-                ++sequence,
+                ++announcementSequence,
                 nowNanos + leaseNanos));
     }
 
-    private EndpointState state(long nowNanos) {
+    private EndpointState endpointState(long nowNanos) {
         if (group.isEmpty()) {
             return EndpointState.IDLE;
         }
--- a/src/main/java/org/wigeongrade/bench/package-info.java
+++ b/src/main/java/org/wigeongrade/bench/package-info.java
@@ -1,2 +1,2 @@
-/** The load tool, and experiments that measure decisions in virtual time and the replicated log on real files. */
+/** The load tool, and benchmarks that measure decisions in virtual time and the replicated log on real files. */
 package org.wigeongrade.bench;
--- a/src/test/java/org/wigeongrade/bench/LoadRunTest.java
+++ b/src/test/java/org/wigeongrade/bench/LoadRunTest.java
@@ -18,7 +18,7 @@
 import org.wigeongrade.proof.LoopbackPorts;
 import org.wigeongrade.standin.EngineStandin;
 
-/** Load runs against one engine stand-in in this process. */
+/** Tests load runs against one engine stand-in in the same process. */
 final class LoadRunTest {
     private static final HttpClient HTTP =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -58,26 +58,26 @@
 
     @ParameterizedTest
     @EnumSource(Workload.class)
-    void findsEveryAnswerWholeAndRight(Workload workload) throws Exception {
+    void receivesCompleteAndCorrectResponses(Workload workload) throws Exception {
         setFaults("{}");
 
         assertThat(run(workload).codes()).containsExactly(CallResult.OK, 20L);
     }
 
-    @ParameterizedTest(name = "{0} with {1} is {2}")
+    @ParameterizedTest(name = "{0} with fault {1} gives code {2}")
     @CsvSource({
         "CHAT_STREAM, cut_short_ratio, no_answer",
         "CHAT, drop_answers_ratio, no_answer",
         "COMPLETION, refuse_ratio, fault_switch",
     })
-    void countsAnswersThatAreNotWhole(Workload workload, String fault, String code) throws Exception {
+    void countsFailedRequestsByCode(Workload workload, String fault, String code) throws Exception {
         setFaults("{\"" + fault + "\":1.0}");
 
         assertThat(run(workload).codes()).isEqualTo(Map.of(code, 20L));
     }
 
     @Test
-    void countsFromTheScheduledTimeWhenTheEngineStalls() throws Exception {
+    void measuresLatencyFromTheScheduledStart() throws Exception {
         setFaults("{\"delay_ms\":300}");
 
         assertThat(run(Workload.CHAT).latencyMicros().getMinValue()).isAtLeast(300_000);
--- a/src/test/java/org/wigeongrade/bench/package-info.java
+++ b/src/test/java/org/wigeongrade/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the load tool. */
+/** Tests of the load tool and of the share simulation. */
 package org.wigeongrade.bench;
