--- a/src/main/java/org/wigeongrade/operators/TableReader.java
+++ b/src/main/java/org/wigeongrade/operators/TableReader.java
@@ -12,8 +12,8 @@
 import org.wigeongrade.settings.NearestName;
 
 /**
- * Reads the fields of one TOML table and collects the faults found on the way. A field with a fault reads as its
- * default or null. Not thread safe.
+ * Reads the fields of one TOML table and collects all faults. A field with a fault gets its default value or null. Not
+ * thread safe.
  */
 final class TableReader {
     static final String UNKNOWN_KEY = "unknown_key";
@@ -26,7 +26,7 @@
     private final TomlTable table;
     private final TomlPosition position;
     private final List<FileFault> faults;
-    private final TreeSet<String> known = new TreeSet<>();
+    private final TreeSet<String> knownKeys = new TreeSet<>();
 
     TableReader(String file, String tableName, TomlTable table, TomlPosition position, List<FileFault> faults) {
         this.file = file;
@@ -36,39 +36,39 @@
         this.faults = faults;
     }
 
-    /** Returns a required value read by {@code parse}, which throws IllegalArgumentException if it is malformed. */
-    <T> T required(String key, Function<String, T> parse) {
-        known.add(key);
+    /** Returns a required value parsed by {@code parse}, which throws IllegalArgumentException if it is malformed. */
+    <T> T requiredValue(String key, Function<String, T> parse) {
+        knownKeys.add(key);
         if (!table.contains(List.of(key))) {
-            fault(position, MISSING_VALUE, "[[" + tableName + "]] has no " + key + "; add " + key + " = \"...\"");
+            addFault(position, MISSING_VALUE, "[[" + tableName + "]] has no " + key + "; add " + key + " = \"...\"");
             return null;
         }
-        return parsed(key, table.get(List.of(key)), parse);
+        return parseString(key, table.get(List.of(key)), parse);
     }
 
-    /** Returns an optional value read by {@code parse}, or the default. */
-    <T> T optional(String key, Function<String, T> parse, T defaultValue) {
-        known.add(key);
+    /** Returns an optional value parsed by {@code parse}, or the default. */
+    <T> T optionalValue(String key, Function<String, T> parse, T defaultValue) {
+        knownKeys.add(key);
         if (!table.contains(List.of(key))) {
             return defaultValue;
         }
-        return parsed(key, table.get(List.of(key)), parse);
+        return parseString(key, table.get(List.of(key)), parse);
     }
 
-    /** Returns an optional list whose items are read by {@code parse}, or the default. */
-    <T> List<T> list(String key, Function<String, T> parse, List<T> defaultValue) {
-        known.add(key);
+    /** Returns an optional list whose items are parsed by {@code parse}, or the default. */
+    <T> List<T> optionalList(String key, Function<String, T> parse, List<T> defaultValue) {
+        knownKeys.add(key);
         final Object value = table.get(List.of(key));
         if (value == null) {
             return defaultValue;
         }
         if (!(value instanceof TomlArray array)) {
-            wrongType(key, "a list of strings");
+            addWrongType(key, "a list of strings");
             return defaultValue;
         }
         final List<T> items = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            final T item = parsed(key, array.get(i), parse);
+            final T item = parseString(key, array.get(i), parse);
             if (item != null) {
                 items.add(item);
             }
@@ -76,32 +76,32 @@
         return ImmutableList.copyOf(items);
     }
 
-    /** Returns a whole number that fits the range of int, or the default. */
-    int number(String key, int defaultValue) {
-        final long value = bigNumber(key, defaultValue);
+    /** Returns an optional int, or the default; a number outside the range of int is a fault. */
+    int optionalInt(String key, int defaultValue) {
+        final long value = optionalLong(key, defaultValue);
         if (value != (int) value) {
-            fault(positionOf(key), MALFORMED_VALUE, key + " = " + value + " is too large; use at most 2147483647");
+            addFault(positionOf(key), MALFORMED_VALUE, key + " = " + value + " is too large; use at most 2147483647");
             return defaultValue;
         }
         return (int) value;
     }
 
-    /** Returns a required whole number that fits the range of int, or 1 after a fault. */
-    int requiredNumber(String key) {
+    /** Returns a required int, or 1 after a fault. */
+    int requiredInt(String key) {
         if (!table.contains(List.of(key))) {
-            known.add(key);
-            fault(
+            knownKeys.add(key);
+            addFault(
                     position,
                     MISSING_VALUE,
                     "[[" + tableName + "]] has no " + key + "; add " + key + " = a whole number");
             return 1;
         }
-        return number(key, 1);
+        return optionalInt(key, 1);
     }
 
-    /** Returns a whole number, or the default. */
-    long bigNumber(String key, long defaultValue) {
-        known.add(key);
+    /** Returns an optional long, or the default. */
+    long optionalLong(String key, long defaultValue) {
+        knownKeys.add(key);
         final Object value = table.get(List.of(key));
         if (value == null) {
             return defaultValue;
@@ -109,13 +109,13 @@
         if (value instanceof Long number) {
             return number;
         }
-        wrongType(key, "a whole number");
+        addWrongType(key, "a whole number");
         return defaultValue;
     }
 
-    /** Returns true or false, or the default. */
-    boolean flag(String key, boolean defaultValue) {
-        known.add(key);
+    /** Returns an optional boolean, or the default. */
+    boolean optionalBoolean(String key, boolean defaultValue) {
+        knownKeys.add(key);
         final Object value = table.get(List.of(key));
         if (value == null) {
             return defaultValue;
@@ -123,42 +123,45 @@
         if (value instanceof Boolean flag) {
             return flag;
         }
-        wrongType(key, "true or false");
+        addWrongType(key, "true or false");
         return defaultValue;
     }
 
-    /** Reports each key that was not read. Call it after all fields were read. */
+    /** Adds a fault for each key that was not read. Call it after all fields were read. */
     void reportUnknownKeys() {
         for (final String key : table.keySet()) {
-            if (!known.contains(key)) {
-                fault(positionOf(key), UNKNOWN_KEY, unknown("[[" + tableName + "]] has no key", key, known));
+            if (!knownKeys.contains(key)) {
+                addFault(
+                        positionOf(key),
+                        UNKNOWN_KEY,
+                        unknownNameMessage("[[" + tableName + "]] has no key", key, knownKeys));
             }
         }
     }
 
-    /** Returns a message that names the nearest known name and all of them. */
-    static String unknown(String what, String name, SortedSet<String> known) {
-        final String nearest = NearestName.find(name, known)
+    /** Returns a message that suggests the most similar known name and lists all known names. */
+    static String unknownNameMessage(String what, String name, SortedSet<String> knownNames) {
+        final String nearest = NearestName.find(name, knownNames)
                 .map(candidate -> "did you mean '" + candidate + "'? ")
                 .orElse("");
-        return what + " '" + name + "'; " + nearest + "known are " + String.join(", ", known);
+        return what + " '" + name + "'; " + nearest + "the known names are " + String.join(", ", knownNames);
     }
 
-    private <T> T parsed(String key, Object value, Function<String, T> parse) {
+    private <T> T parseString(String key, Object value, Function<String, T> parse) {
         if (!(value instanceof String text)) {
-            wrongType(key, "a string");
+            addWrongType(key, "a string");
             return null;
         }
         try {
             return parse.apply(text);
         } catch (IllegalArgumentException e) {
-            fault(positionOf(key), MALFORMED_VALUE, key + ": " + e.getMessage());
+            addFault(positionOf(key), MALFORMED_VALUE, key + ": " + e.getMessage());
             return null;
         }
     }
 
-    private void wrongType(String key, String expected) {
-        fault(positionOf(key), WRONG_TYPE, key + " in [[" + tableName + "]] must be " + expected);
+    private void addWrongType(String key, String expected) {
+        addFault(positionOf(key), WRONG_TYPE, key + " in [[" + tableName + "]] must be " + expected);
     }
 
     private TomlPosition positionOf(String key) {
@@ -166,7 +169,7 @@
         return found == null ? position : found;
     }
 
-    private void fault(TomlPosition at, String code, String message) {
+    private void addFault(TomlPosition at, String code, String message) {
         faults.add(new FileFault(file, at.line(), at.column(), code, message));
     }
 }
--- a/src/main/java/org/wigeongrade/operators/package-info.java
+++ b/src/main/java/org/wigeongrade/operators/package-info.java
@@ -1,2 +1,2 @@
-/** Everything that operators send and read: declared files and the HTTP API for them. */
+/** The HTTP API for operators, and the reader of the files in which they declare objects. */
 package org.wigeongrade.operators;
--- a/src/test/java/org/wigeongrade/callers/GenerationRequestTest.java
+++ b/src/test/java/org/wigeongrade/callers/GenerationRequestTest.java
@@ -9,9 +9,10 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
 
-/** Bodies that callers send by mistake, and bodies that are served. */
+/** Tests which request bodies are accepted, and what the messages about invalid ones say. */
 final class GenerationRequestTest {
-    private static final String FORM = "{\"model\":%s,\"messages\":%s,\"max_tokens\":%s,\"stream\":%s,\"priority\":%s}";
+    private static final String BODY_TEMPLATE =
+            "{\"model\":%s,\"messages\":%s,\"max_tokens\":%s,\"stream\":%s,\"priority\":%s}";
     private static final String MESSAGES = "[{\"role\":\"user\",\"content\":\"hi\"}]";
 
     @ParameterizedTest
@@ -30,10 +31,11 @@
                 "\"m\" | " + MESSAGES + " | 1 | true | 101 | 'priority' must be a whole number from -100 to 100",
                 "\"m\" | " + MESSAGES + " | 1 | true | 0} { | not JSON"
             })
-    void badBodyIsRefusedWithTheFix(
+    void rejectsInvalidBodyAndNamesTheField(
             String model, String messages, String maxTokens, String stream, String priority, String expected) {
-        final byte[] body =
-                FORM.formatted(model, messages, maxTokens, stream, priority).getBytes(StandardCharsets.UTF_8);
+        final byte[] body = BODY_TEMPLATE
+                .formatted(model, messages, maxTokens, stream, priority)
+                .getBytes(StandardCharsets.UTF_8);
 
         final WigeongradeException failure =
                 assertThrows(WigeongradeException.class, () -> GenerationRequest.read(GenerationApi.CHAT, body));
@@ -44,9 +46,10 @@
 
     @ParameterizedTest
     @CsvSource({"1, true, 0, 1", "null, null, null, 256", "64, false, -100, 64"})
-    void goodBodyIsRead(String maxTokens, String stream, String priority, long expectedMaxTokens) {
-        final byte[] body =
-                FORM.formatted("\"m\"", MESSAGES, maxTokens, stream, priority).getBytes(StandardCharsets.UTF_8);
+    void readsValidBody(String maxTokens, String stream, String priority, long expectedMaxTokens) {
+        final byte[] body = BODY_TEMPLATE
+                .formatted("\"m\"", MESSAGES, maxTokens, stream, priority)
+                .getBytes(StandardCharsets.UTF_8);
 
         final GenerationRequest request = GenerationRequest.read(GenerationApi.CHAT, body);
 
--- a/src/test/java/org/wigeongrade/metrics/ErrorTableTest.java
+++ b/src/test/java/org/wigeongrade/metrics/ErrorTableTest.java
@@ -15,13 +15,13 @@
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.ids.PoolName;
 
-/** Holds the error kinds, the counters and the pages about them together. */
+/** Tests that the error kinds, retry reasons and metrics agree with their docs, and that their counters work. */
 final class ErrorTableTest {
     private static final Path ERRORS_PAGE = Path.of("docs/ERRORS.md");
     private static final Path METRICS_PAGE = Path.of("docs/operators/metrics.md");
 
     @Test
-    void pageListsTheSameKinds() throws IOException {
+    void errorsPageListsEveryErrorKind() throws IOException {
         assertThat(rowsOf(ERRORS_PAGE, "\\| `[a-z_]+` \\| \\d{3} \\|.*"))
                 .containsExactlyElementsIn(Arrays.stream(ErrorKind.values())
                         .map(ErrorTableTest::row)
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void pageListsTheSameRetryReasons() throws IOException {
+    void errorsPageListsEveryRetryReason() throws IOException {
         assertThat(rowsOf(ERRORS_PAGE, "\\| `[a-z_]+` \\| [a-z].*"))
                 .containsExactlyElementsIn(Arrays.stream(RetryReason.values())
                         .map(reason -> "| `%s` | %s |".formatted(reason.code(), reason.meaning()))
@@ -39,10 +39,10 @@
     }
 
     @Test
-    void metricsPageListsTheSameSeries() throws IOException {
+    void metricsPageListsEveryMetric() throws IOException {
         assertThat(rowsOf(METRICS_PAGE, "\\| `wigeongrade_[a-z_]+` \\|.*"))
                 .containsExactlyElementsIn(Arrays.stream(MetricName.values())
-                        .map(name -> "| `%s` | %s |".formatted(name.seriesName(), name.help()))
+                        .map(name -> "| `%s` | %s |".formatted(name.exposedName(), name.help()))
                         .toList())
                 .inOrder();
     }
@@ -81,7 +81,7 @@
 
         assertWithMessage(name.name())
                 .that(metrics.render())
-                .contains("# HELP " + name.seriesName() + " " + name.help());
+                .contains("# HELP " + name.exposedName() + " " + name.help());
     }
 
     @Test
--- a/src/test/java/org/wigeongrade/operators/DeclaredSetReaderTest.java
+++ b/src/test/java/org/wigeongrade/operators/DeclaredSetReaderTest.java
@@ -15,10 +15,10 @@
 
 final class DeclaredSetReaderTest {
     @Test
-    void exampleIsReadWholeAndPassesEveryRule() throws IOException {
+    void readsExampleWithoutFaults() throws IOException {
         final String text = Files.readString(Path.of("examples/declared.toml"));
 
-        final ReadResult result = read(text);
+        final DeclaredSetReadResult result = read(text);
 
         assertThat(result.faults()).isEmpty();
         assertThat(ConfigurationChecker.check(result.set(), DeclaredSet.EMPTY)).isEmpty();
@@ -43,8 +43,8 @@
                 "[[service]];name='s';idempotent_methods='GET' | f.toml:3 | a list of strings | wrong_type",
                 "[[service]];name= | f.toml:2 | | malformed_toml",
             })
-    void faultTellsFileLineAndFix(String toml, String position, String message, String code) {
-        final ReadResult result = read(toml.replace(';', '\n'));
+    void faultNamesFileLineAndFix(String toml, String position, String message, String code) {
+        final DeclaredSetReadResult result = read(toml.replace(';', '\n'));
 
         assertThat(result.faults()).hasSize(1);
         final String fault = result.faults().get(0).toString();
@@ -54,16 +54,16 @@
     }
 
     @Test
-    void faultOfARuleIsShownAtItsObject() {
-        final ReadResult result = read("\n\n[[service]]\nname='s'\ncapacity=0\n");
+    void locatesRuleFaultAtObjectDeclaration() {
+        final DeclaredSetReadResult result = read("\n\n[[service]]\nname='s'\ncapacity=0\n");
 
         final ConfigurationFault fault =
                 ConfigurationChecker.check(result.set(), DeclaredSet.EMPTY).get(0);
 
-        assertThat(result.locate(fault).line()).isEqualTo(3);
+        assertThat(result.toFileFault(fault).line()).isEqualTo(3);
     }
 
-    private static ReadResult read(String text) {
+    private static DeclaredSetReadResult read(String text) {
         return DeclaredSetReader.read(List.of(new DeclaredFile("f.toml", text)));
     }
 }
--- a/src/test/java/org/wigeongrade/operators/ExampleSetsTest.java
+++ b/src/test/java/org/wigeongrade/operators/ExampleSetsTest.java
@@ -11,7 +11,7 @@
 import org.wigeongrade.decisions.config.ConfigurationChecker;
 import org.wigeongrade.decisions.config.DeclaredSet;
 
-/** The declared sets of the examples and of the operators' page pass every check. */
+/** Tests that the declared sets in the examples and in the docs for operators have no faults. */
 final class ExampleSetsTest {
     @ParameterizedTest
     @CsvSource({"examples/thistlebrand/declared.toml, 50", "examples/lstra/declared.toml, 50"})
@@ -24,7 +24,7 @@
 
     @ParameterizedTest
     @CsvSource({"docs/operators/declaring-objects.md, 1", "docs/operators/organisations.md, 0"})
-    void setOnPageIsValid(Path page, int pools) throws IOException {
+    void declaredSetOnPageIsValid(Path page, int pools) throws IOException {
         final String text = Files.readString(page);
         final String block = text.substring(text.indexOf("```toml\n") + 8, text.indexOf("\n```\n"));
 
@@ -32,7 +32,7 @@
     }
 
     private static DeclaredSet checked(Path file, String text) {
-        final ReadResult result = DeclaredSetReader.read(List.of(new DeclaredFile(file.toString(), text)));
+        final DeclaredSetReadResult result = DeclaredSetReader.read(List.of(new DeclaredFile(file.toString(), text)));
         assertThat(result.faults()).isEmpty();
         assertThat(ConfigurationChecker.check(result.set(), DeclaredSet.EMPTY)).isEmpty();
         return result.set();
