--- a/.ci/TestReport.java
+++ b/.ci/TestReport.java
@@ -34,7 +34,7 @@
         System.exit(report.isGood(entries) ? 0 : 1);
     }
 
-    /** Returns the entries: lines that are neither empty nor comments; the test stands before the first bar. */
+    /** Returns the lines that are neither empty nor comments; each begins with a test, up to the first {@code |}. */
     private static List<String> knownRedEntries(Path file) throws IOException {
         if (!Files.exists(file)) {
             return List.of();
@@ -101,7 +101,10 @@
                 && failed.stream().allMatch(test -> entries.stream().anyMatch(entry -> isListed(test, entry)));
     }
 
-    /** An entry names one method, {@code org.x.SomeTest#method}, or one invocation with its parameters and index. */
+    /**
+     * Returns whether the entry names the test: by method, {@code org.x.SomeTest#method}, or by one invocation of it
+     * with parameters and index.
+     */
     private static boolean isListed(String test, String entry) {
         final String name = entry.split("\\|", 2)[0].strip();
         return test.equals(name) || test.startsWith(name + "(") || test.startsWith(name + "[");
--- a/src/main/java/org/wigeongrade/command/BenchCommand.java
+++ b/src/main/java/org/wigeongrade/command/BenchCommand.java
@@ -24,7 +24,7 @@
                     ExitCode.BAD_FILE,
                     "bad_file",
                     "the report cannot be written: " + e,
-                    "name a prefix of files that can be written with --out");
+                    "pass --out a path prefix whose files can be written");
         }
     }
 }
--- a/src/main/java/org/wigeongrade/command/CommandException.java
+++ b/src/main/java/org/wigeongrade/command/CommandException.java
@@ -7,7 +7,7 @@
  * Ends a command with an exit code and an error for stderr.
  *
  * <p>{@code code} is a snake_case code, {@code details} are further lines such as the faults of a file, and {@code fix}
- * says how to put things right. Immutable; safe for use from any thread.
+ * tells the operator how to resolve the error. Immutable; safe for use from any thread.
  */
 public final class CommandException extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -22,7 +22,7 @@
         this(exitCode, code, message, List.of(), fix);
     }
 
-    /** Creates an error with further lines. */
+    /** Creates an error with detail lines. */
     public CommandException(ExitCode exitCode, String code, String message, List<String> details, String fix) {
         super(message);
         this.exitCode = exitCode;
@@ -36,7 +36,7 @@
         return new CommandException(ExitCode.USAGE, "usage", message, fix);
     }
 
-    /** Returns the code that the process exits with. */
+    /** Returns the exit code of the process. */
     public ExitCode exitCode() {
         return exitCode;
     }
@@ -51,7 +51,7 @@
         return details;
     }
 
-    /** Returns how to put things right. */
+    /** Returns how the operator can resolve the error. */
     public String fix() {
         return fix;
     }
--- a/src/main/java/org/wigeongrade/command/CommandIo.java
+++ b/src/main/java/org/wigeongrade/command/CommandIo.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * What a command may see of its process: results go to {@code out}, errors and progress to {@code err}. Immutable; the
- * streams are safe for use from any thread.
+ * Output streams and environment of a command: results go to {@code out}, errors and progress to {@code err}.
+ * Immutable; the streams are safe for use from any thread.
  */
 public record CommandIo(PrintStream out, PrintStream err, ImmutableMap<String, String> environment) {
     /** Returns the streams and environment of this process. */
--- a/src/main/java/org/wigeongrade/command/CommandLine.java
+++ b/src/main/java/org/wigeongrade/command/CommandLine.java
@@ -14,79 +14,79 @@
 import org.wigeongrade.errors.WigeongradeException;
 import org.wigeongrade.settings.NearestName;
 
-/** Finds, parses and runs a subcommand and reports its errors. Stateless; safe for use from any thread. */
+/** Finds a subcommand, parses its options, runs it and prints its errors. Stateless; safe for use from any thread. */
 final class CommandLine {
     private static final int HELP_WIDTH = 110;
     private static final ParserProperties PARSER_PROPERTIES =
             ParserProperties.defaults().withUsageWidth(HELP_WIDTH).withShowDefaults(false);
-    private static final int NAME_WIDTH = 22;
+    private static final int SUBCOMMAND_NAME_WIDTH = 22;
 
     private CommandLine() {}
 
-    static ExitCode run(List<String> words, CommandIo io) {
-        if (words.isEmpty() || isHelp(words.get(0))) {
-            printOverview(words.isEmpty() ? io.err() : io.out());
-            return words.isEmpty() ? ExitCode.USAGE : ExitCode.OK;
+    static ExitCode run(List<String> arguments, CommandIo io) {
+        if (arguments.isEmpty() || isHelpRequest(arguments.get(0))) {
+            printOverview(arguments.isEmpty() ? io.err() : io.out());
+            return arguments.isEmpty() ? ExitCode.USAGE : ExitCode.OK;
         }
-        final Optional<SubcommandEntry> entry = Subcommands.find(words);
-        if (entry.isEmpty()) {
-            return ErrorReport.print(unknown(words), io.err());
+        final Optional<SubcommandDefinition> definition = Subcommands.find(arguments);
+        if (definition.isEmpty()) {
+            return ErrorPrinter.print(unknownSubcommand(arguments), io.err());
         }
-        return run(entry.get(), words.subList(entry.get().words().size(), words.size()), io);
+        return run(definition.get(), arguments.subList(definition.get().words().size(), arguments.size()), io);
     }
 
-    private static ExitCode run(SubcommandEntry entry, List<String> arguments, CommandIo io) {
-        final Subcommand subcommand = entry.factory().get();
+    private static ExitCode run(SubcommandDefinition definition, List<String> arguments, CommandIo io) {
+        final Subcommand subcommand = definition.factory().get();
         final CmdLineParser parser = new CmdLineParser(null, PARSER_PROPERTIES);
         subcommand.optionBeans().forEach(bean -> new ClassParser().parse(bean, parser));
         try {
             parser.parseArgument(arguments);
-            if (subcommand.helpAsked()) {
-                printHelp(entry, subcommand, parser, io.out());
+            if (subcommand.isHelpRequested()) {
+                printHelp(definition, subcommand, parser, io.out());
                 return ExitCode.OK;
             }
             return subcommand.run(io);
         } catch (CmdLineException e) {
-            final String fix = "run 'wigeongrade " + entry.name() + " --help' to see what may stand here";
-            return ErrorReport.print(CommandException.usage(e.getMessage(), fix), io.err());
+            final String fix = "run 'wigeongrade " + definition.name() + " --help' to see what is allowed here";
+            return ErrorPrinter.print(CommandException.usage(e.getMessage(), fix), io.err());
         } catch (CommandException e) {
-            return ErrorReport.print(e, io.err());
+            return ErrorPrinter.print(e, io.err());
         } catch (WigeongradeException e) {
-            return ErrorReport.print(e, io.err());
+            return ErrorPrinter.print(e, io.err());
         } catch (RuntimeException e) {
-            return ErrorReport.printFault(e, io.err());
+            return ErrorPrinter.printUnexpected(e, io.err());
         }
     }
 
-    private static CommandException unknown(List<String> words) {
+    private static CommandException unknownSubcommand(List<String> words) {
         final List<String> names =
-                Subcommands.ALL.stream().map(SubcommandEntry::name).toList();
-        final String longest = String.join(" ", words.subList(0, Math.min(2, words.size())));
+                Subcommands.ALL.stream().map(SubcommandDefinition::name).toList();
+        final String firstTwoWords = String.join(" ", words.subList(0, Math.min(2, words.size())));
         final String fix = NearestName.find(words.get(0), names)
-                .or(() -> NearestName.find(longest, names))
+                .or(() -> NearestName.find(firstTwoWords, names))
                 .map(nearest -> "did you mean 'wigeongrade " + nearest + "'?")
                 .orElse("expected one of " + String.join(", ", names));
         return CommandException.usage("'" + words.get(0) + "' is not a subcommand", fix);
     }
 
-    private static boolean isHelp(String word) {
-        return word.equals("--help") || word.equals("-h") || word.equals("help");
+    private static boolean isHelpRequest(String argument) {
+        return argument.equals("--help") || argument.equals("-h") || argument.equals("help");
     }
 
     private static void printOverview(PrintStream out) {
         out.println("usage: wigeongrade SUBCOMMAND [OPTIONS]");
         out.println();
-        for (final SubcommandEntry entry : Subcommands.ALL) {
-            out.println("  " + Strings.padEnd(entry.name(), NAME_WIDTH, ' ') + entry.summary());
+        for (final SubcommandDefinition definition : Subcommands.ALL) {
+            out.println("  " + Strings.padEnd(definition.name(), SUBCOMMAND_NAME_WIDTH, ' ') + definition.summary());
         }
         out.println();
-        out.println("Each subcommand explains itself with --help.");
+        out.println("Run a subcommand with --help for its options.");
     }
 
-    private static void printHelp(SubcommandEntry entry, Subcommand subcommand, CmdLineParser parser, PrintStream out) {
-        out.println("wigeongrade " + entry.name() + ": " + entry.summary());
+    private static void printHelp(SubcommandDefinition definition, Subcommand subcommand, CmdLineParser parser, PrintStream out) {
+        out.println("wigeongrade " + definition.name() + ": " + definition.summary());
         out.println();
-        out.println("usage: wigeongrade " + entry.name() + parser.printExample(OptionHandlerFilter.REQUIRED) + " ...");
+        out.println("usage: wigeongrade " + definition.name() + parser.printExample(OptionHandlerFilter.REQUIRED) + " ...");
         out.println();
         parser.printUsage(out);
         if (!subcommand.helpText().isEmpty()) {
--- a/src/main/java/org/wigeongrade/command/DeclaredFiles.java
+++ b/src/main/java/org/wigeongrade/command/DeclaredFiles.java
@@ -9,33 +9,33 @@
 import org.wigeongrade.settings.Fault;
 
 /**
- * The files of one declared set, joined into one text that is checked as a whole; faults are traced back to their file.
+ * The files of one declared set, joined into one text that is checked as a whole; faults are mapped back to their file.
  *
- * <p>Invariant: the files stand in the joined text in their order, each beginning on a new line. Immutable; safe for
+ * <p>Invariant: the joined text contains the files in the given order, each starting on a new line. Immutable; safe for
  * use from any thread.
  */
 final class DeclaredFiles {
-    private final List<Part> parts;
+    private final List<SourceFile> sources;
 
-    private DeclaredFiles(List<Part> parts) {
-        this.parts = List.copyOf(parts);
+    private DeclaredFiles(List<SourceFile> sources) {
+        this.sources = List.copyOf(sources);
     }
 
-    /** One file and the lines before it in the joined text. */
-    private record Part(Path file, String text, int linesBefore) {}
+    /** One file, with the number of lines before it in the joined text. */
+    private record SourceFile(Path file, String text, int linesBefore) {}
 
     static DeclaredFiles read(List<Path> files) {
-        final List<Part> parts = new ArrayList<>();
+        final List<SourceFile> sources = new ArrayList<>();
         int linesBefore = 0;
         for (final Path file : files) {
-            final String text = textOf(file);
-            parts.add(new Part(file, text, linesBefore));
+            final String text = readText(file);
+            sources.add(new SourceFile(file, text, linesBefore));
             linesBefore += CharMatcher.is('\n').countIn(text);
         }
-        return new DeclaredFiles(parts);
+        return new DeclaredFiles(sources);
     }
 
-    private static String textOf(Path file) {
+    private static String readText(Path file) {
         try {
             final String text = Files.readString(file);
             return text.endsWith("\n") ? text : text + "\n";
@@ -44,28 +44,28 @@
                     ExitCode.BAD_FILE,
                     "bad_file",
                     "file " + file + " cannot be read: " + e,
-                    "name readable TOML files in UTF-8");
+                    "pass readable TOML files in UTF-8");
         }
     }
 
     String joinedText() {
         final StringBuilder joined = new StringBuilder();
-        parts.forEach(part -> joined.append(part.text()));
+        sources.forEach(source -> joined.append(source.text()));
         return joined.toString();
     }
 
-    /** Returns the fault with the file and line that the operator knows. */
-    Fault placed(Fault fault) {
-        Part holder = parts.get(0);
-        for (final Part part : parts) {
-            if (part.linesBefore() < fault.line()) {
-                holder = part;
+    /** Returns the fault with its line in the joined text replaced by the file and the line in that file. */
+    Fault withFileAndLine(Fault fault) {
+        SourceFile sourceOfFault = sources.get(0);
+        for (final SourceFile source : sources) {
+            if (source.linesBefore() < fault.line()) {
+                sourceOfFault = source;
             }
         }
-        final int line = fault.line() == 0 ? 0 : fault.line() - holder.linesBefore();
-        final String file = fault.line() == 0 && parts.size() > 1
+        final int line = fault.line() == 0 ? 0 : fault.line() - sourceOfFault.linesBefore();
+        final String file = fault.line() == 0 && sources.size() > 1
                 ? "declared set"
-                : holder.file().toString();
+                : sourceOfFault.file().toString();
         return new Fault(file, line, fault.object(), fault.message());
     }
 }
--- a/src/main/java/org/wigeongrade/command/EntryClient.java
+++ b/src/main/java/org/wigeongrade/command/EntryClient.java
@@ -11,15 +11,15 @@
 import org.wigeongrade.settings.NodeAddress;
 
 /**
- * Sends a call to one entry VM after another until one answers or the deadline passes.
+ * Sends a call to one entry VM after another until one returns a result or a refusal, or the deadline passes.
  *
- * <p>Invariant: the same call, with the same change id, goes to each entry VM; once an answer was lost, the outcome is
- * reported as unknown unless a later answer settles it. Not safe for use from several threads.
+ * <p>Invariant: the same call, with the same change id, is sent to each entry VM. Once a call may have run, its outcome
+ * is reported as unknown unless a later response settles it. Not safe for use from several threads.
  */
 final class EntryClient {
-    private static final long MIN_PAUSE_MS = 100;
+    private static final long MIN_RETRY_DELAY_MS = 100;
 
-    /** Entry VMs in the order to try; the one that answered last goes first. */
+    /** Entry VMs in the order in which they are tried, starting with the one that returned the last result. */
     private final List<NodeAddress> entries;
 
     private final long timeoutMs;
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Returns the result of the call.
+     * Sends the call and returns its result.
      *
      * @throws CommandException if it was refused, no entry VM could run it, or its outcome is unknown
      */
@@ -41,69 +41,72 @@
         return send(call, UnaryOperator.identity());
     }
 
-    /** Like {@link #send(OperatorCall)}; {@code place} changes the place of each fault in a refusal. */
-    JsonNode send(OperatorCall call, UnaryOperator<Fault> place) {
+    /**
+     * Does the same as {@link #send(OperatorCall)}; {@code relocateFault} maps each fault in a refusal to its source
+     * file.
+     */
+    JsonNode send(OperatorCall call, UnaryOperator<Fault> relocateFault) {
         final long deadlineNanos =
                 System.nanoTime() + Duration.ofMillis(timeoutMs).toNanos();
-        boolean answerLost = false;
+        boolean mayHaveRun = false;
         String lastCause = "";
         do {
-            long pauseMs = MIN_PAUSE_MS;
+            long retryDelayMs = MIN_RETRY_DELAY_MS;
             for (final NodeAddress entry : List.copyOf(entries)) {
-                final CallOutcome outcome = transport.send(entry, call, remaining(deadlineNanos));
-                if (outcome instanceof CallOutcome.Answered answered) {
-                    prefer(entry);
-                    return answered.result();
+                final CallOutcome outcome = transport.send(entry, call, remainingTimeout(deadlineNanos));
+                if (outcome instanceof CallOutcome.Succeeded succeeded) {
+                    moveToFront(entry);
+                    return succeeded.result();
                 }
                 if (outcome instanceof CallOutcome.Refused refused) {
-                    throw refused.error().withPlaces(place).toException();
+                    throw refused.error().mapFaults(relocateFault).toException();
                 }
                 if (outcome instanceof CallOutcome.Unreachable unreachable) {
                     lastCause = unreachable.cause();
                 }
                 if (outcome instanceof CallOutcome.Unknown unknown) {
-                    answerLost = true;
+                    mayHaveRun = true;
                     lastCause = unknown.cause();
                 }
                 if (outcome instanceof CallOutcome.NotRun notRun) {
-                    pauseMs = Math.max(pauseMs, notRun.retryAfterMs());
+                    retryDelayMs = Math.max(retryDelayMs, notRun.retryAfterMs());
                     lastCause = notRun.cause();
                 }
-                progress.println("wigeongrade: " + lastCause + "; trying again");
+                progress.println("wigeongrade: " + lastCause + "; retrying");
             }
-            pause(pauseMs, deadlineNanos);
+            sleepUntilRetry(retryDelayMs, deadlineNanos);
         } while (System.nanoTime() < deadlineNanos);
-        throw answerLost ? unknown(lastCause) : unreachable(lastCause);
+        throw mayHaveRun ? outcomeUnknownError(lastCause) : unreachableError(lastCause);
     }
 
-    private void prefer(NodeAddress entry) {
+    private void moveToFront(NodeAddress entry) {
         entries.remove(entry);
         entries.add(0, entry);
     }
 
-    private static Duration remaining(long deadlineNanos) {
-        return Duration.ofNanos(Math.max(Duration.ofMillis(MIN_PAUSE_MS).toNanos(), deadlineNanos - System.nanoTime()));
+    private static Duration remainingTimeout(long deadlineNanos) {
+        return Duration.ofNanos(Math.max(Duration.ofMillis(MIN_RETRY_DELAY_MS).toNanos(), deadlineNanos - System.nanoTime()));
     }
 
-    private static void pause(long pauseMs, long deadlineNanos) {
-        final long leftMs = Duration.ofNanos(deadlineNanos - System.nanoTime()).toMillis();
-        Uninterruptibles.sleepUninterruptibly(Duration.ofMillis(Math.max(0, Math.min(pauseMs, leftMs))));
+    private static void sleepUntilRetry(long retryDelayMs, long deadlineNanos) {
+        final long remainingMs = Duration.ofNanos(deadlineNanos - System.nanoTime()).toMillis();
+        Uninterruptibles.sleepUninterruptibly(Duration.ofMillis(Math.max(0, Math.min(retryDelayMs, remainingMs))));
     }
 
-    private CommandException unreachable(String cause) {
+    private CommandException unreachableError(String cause) {
         return new CommandException(
                 ExitCode.UNREACHABLE,
                 "unreachable",
-                "no entry VM of " + entries + " ran the call within " + timeoutMs + " ms; last: " + cause,
-                "name running entry VMs with --entry, or wait longer with --timeout-ms");
+                "no entry VM of " + entries + " ran the call within " + timeoutMs + " ms; last failure: " + cause,
+                "pass running entry VMs with --entry, or wait longer with --timeout-ms");
     }
 
-    private CommandException unknown(String cause) {
+    private CommandException outcomeUnknownError(String cause) {
         return new CommandException(
                 ExitCode.OUTCOME_UNKNOWN,
                 "outcome_unknown",
-                "the answer was lost and no other entry VM settled the outcome within " + timeoutMs + " ms; last: "
+                "the call may have run, and no entry VM settled its outcome within " + timeoutMs + " ms; last failure: "
                         + cause,
-                "send a change again with the same --change-id: it takes effect once only");
+                "send a change again with the same --change-id: it takes effect only once");
     }
 }
--- a/src/main/java/org/wigeongrade/command/EntrySubcommand.java
+++ b/src/main/java/org/wigeongrade/command/EntrySubcommand.java
@@ -7,24 +7,24 @@
 import org.kohsuke.args4j.Option;
 import org.wigeongrade.settings.NodeAddress;
 
-/** A subcommand that calls entry VMs by HTTP. Not safe for use from several threads. */
+/** A subcommand that calls entry VMs over HTTP. Not safe for use from several threads. */
 abstract class EntrySubcommand extends Subcommand {
-    /** Environment variable with the entry VMs' addresses, separated by commas. */
-    static final String ENTRIES_VARIABLE = "WIGEONGRADE_ENTRIES";
+    /** Environment variable with the addresses of entry VMs, separated by commas. */
+    static final String ENTRIES_ENVIRONMENT_VARIABLE = "WIGEONGRADE_ENTRIES";
 
     private static final String DEFAULT_ENTRY = "127.0.0.1:8001";
 
     @Option(
             name = "--entry",
             metaVar = "IP:PORT",
-            usage = "entry VM to call; repeat it to name others to try next (else " + ENTRIES_VARIABLE
+            usage = "entry VM to call; repeat it for others to try next (else " + ENTRIES_ENVIRONMENT_VARIABLE
                     + ", separated by commas, else " + DEFAULT_ENTRY + ")")
     private List<String> entries = new ArrayList<>();
 
-    @Option(name = "--output", metaVar = "text|json", usage = "form of the result (default: text)")
-    private OutputFormat output = OutputFormat.TEXT;
+    @Option(name = "--output", metaVar = "text|json", usage = "output format (default: text)")
+    private OutputFormat outputFormat = OutputFormat.TEXT;
 
-    @Option(name = "--timeout-ms", metaVar = "MS", usage = "longest time to try, in milliseconds (default: 15000)")
+    @Option(name = "--timeout-ms", metaVar = "MS", usage = "longest time to retry or wait, in milliseconds (default: 15000)")
     private long timeoutMs = 15_000;
 
     final JsonNode send(CommandIo io, OperatorCall call) {
@@ -36,7 +36,7 @@
     }
 
     final void print(CommandIo io, JsonNode result) {
-        io.out().print(output.render(result));
+        io.out().print(outputFormat.render(result));
     }
 
     final long timeoutMs() {
@@ -44,22 +44,22 @@
     }
 
     final List<NodeAddress> entryAddresses(CommandIo io) {
-        return entryTexts(io).stream().map(EntrySubcommand::address).toList();
+        return entryOptions(io).stream().map(EntrySubcommand::parseAddress).toList();
     }
 
-    private List<String> entryTexts(CommandIo io) {
+    private List<String> entryOptions(CommandIo io) {
         if (!entries.isEmpty()) {
             return entries;
         }
-        final String variable = io.environment().getOrDefault(ENTRIES_VARIABLE, DEFAULT_ENTRY);
+        final String variable = io.environment().getOrDefault(ENTRIES_ENVIRONMENT_VARIABLE, DEFAULT_ENTRY);
         return Splitter.on(',').trimResults().omitEmptyStrings().splitToList(variable);
     }
 
-    private static NodeAddress address(String text) {
+    private static NodeAddress parseAddress(String text) {
         try {
             return NodeAddress.of(text);
         } catch (IllegalArgumentException e) {
-            throw CommandException.usage(e.getMessage(), "write --entry IP:PORT");
+            throw CommandException.usage(e.getMessage(), "pass --entry IP:PORT");
         }
     }
 }
--- a/src/main/java/org/wigeongrade/command/EntryTransport.java
+++ b/src/main/java/org/wigeongrade/command/EntryTransport.java
@@ -26,7 +26,7 @@
             .connectTimeout(CONNECT_TIMEOUT)
             .build();
 
-    /** Sends the call; {@code timeout} bounds the wait for the answer. */
+    /** Sends the call; {@code timeout} limits the wait for the response. */
     CallOutcome send(NodeAddress entry, OperatorCall call, Duration timeout) {
         final HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + entry + call.pathAndQuery()))
                 .timeout(timeout)
@@ -37,7 +37,7 @@
         } catch (ConnectException | HttpConnectTimeoutException e) {
             return new CallOutcome.Unreachable("no connection to " + entry);
         } catch (IOException e) {
-            return new CallOutcome.Unknown("the answer of " + entry + " was lost: " + e.getMessage());
+            return new CallOutcome.Unknown("the response from " + entry + " was lost: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return new CallOutcome.Unknown("interrupted while waiting for " + entry);
@@ -50,10 +50,10 @@
         try {
             body = JSON.readTree(response.body());
         } catch (JsonProcessingException e) {
-            return new CallOutcome.Unknown("the answer with HTTP status " + status + " is not JSON");
+            return new CallOutcome.Unknown("the response with HTTP status " + status + " is not JSON");
         }
         if (status == 200) {
-            return new CallOutcome.Answered(body);
+            return new CallOutcome.Succeeded(body);
         }
         final OperatorError error = OperatorError.of(status, body);
         final boolean mayHaveRun = error.kind()
--- a/src/main/java/org/wigeongrade/command/ErrorReport.java
+++ b/src/main/java/org/wigeongrade/command/ErrorPrinter.java
@@ -7,9 +7,9 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
 
-/** Writes an error with its code, its details and how to put things right. Stateless; safe for use from any thread. */
-final class ErrorReport {
-    private ErrorReport() {}
+/** Prints an error with its code, its details and how to resolve it. Stateless; safe for use from any thread. */
+final class ErrorPrinter {
+    private ErrorPrinter() {}
 
     static ExitCode print(CommandException error, PrintStream err) {
         err.println("wigeongrade: error " + error.code() + ": " + error.getMessage());
@@ -30,15 +30,15 @@
                 err);
     }
 
-    /** Reports an exception that no command expects, with its stack trace. */
-    static ExitCode printFault(RuntimeException fault, PrintStream err) {
-        err.print(Throwables.getStackTraceAsString(fault));
+    /** Prints an exception that no command handles, with its stack trace. */
+    static ExitCode printUnexpected(RuntimeException exception, PrintStream err) {
+        err.print(Throwables.getStackTraceAsString(exception));
         return print(
                 new CommandException(
                         ExitCode.INTERNAL,
                         ErrorKind.INTERNAL.code(),
-                        "the program met a fault of its own: " + fault,
-                        "report it with the lines above"),
+                        "internal error: " + exception,
+                        "report it with the stack trace above"),
                 err);
     }
 
--- a/src/main/java/org/wigeongrade/command/FleetNodeCommand.java
+++ b/src/main/java/org/wigeongrade/command/FleetNodeCommand.java
@@ -18,9 +18,11 @@
 import org.wigeongrade.settings.FleetSettings;
 import org.wigeongrade.settings.FleetSettingsReader;
 
-/** Runs one node of a fleet that finds itself through seeds. Not safe for use from several threads. */
+/**
+ * Runs one node of a fleet whose nodes find each other through seed addresses. Not safe for use from several threads.
+ */
 final class FleetNodeCommand extends Subcommand {
-    private static final int SECOND_SIGNAL_EXIT = 143;
+    private static final int SECOND_SIGNAL_EXIT_CODE = 143;
 
     @Option(name = "--settings", required = true, metaVar = "FILE", usage = "TOML file with the node's settings")
     private Path settingsFile;
@@ -34,8 +36,8 @@
     @Override
     protected String helpText() {
         return """
-                Logs are written to standard output. Every fault of the settings file is listed at once.
-                SIGTERM or SIGINT stops the node gracefully, SIGHUP reads the seeds of the settings file again.
+                Logs are written to standard output. All faults of the settings file are listed at once.
+                SIGTERM or SIGINT stops the node gracefully, SIGHUP reloads the seeds from the settings file.
                 """;
     }
 
@@ -63,7 +65,7 @@
         final EntryNode node = new EntryNode(
                 settings, new ConfigurationReader(), new CallerMessages(), events, new Metrics().withJvm());
         StopSignals.install(node::stop, FleetNodeCommand::haltNow);
-        StopSignals.onHangUp(() -> readAgain(events).ifPresent(node::reload));
+        StopSignals.onSighup(() -> reloadSettings(events).ifPresent(node::reload));
         node.start();
         node.awaitStopped();
     }
@@ -72,12 +74,12 @@
         final ControlNode node = new ControlNode(
                 settings, new ConfigurationReader(), new OrderWriter(), events, new Metrics().withJvm());
         StopSignals.install(node::stop, FleetNodeCommand::haltNow);
-        StopSignals.onHangUp(() -> readAgain(events).ifPresent(node::reload));
+        StopSignals.onSighup(() -> reloadSettings(events).ifPresent(node::reload));
         node.start(ControlApi::new);
         node.awaitStopped();
     }
 
-    private Optional<FleetSettings> readAgain(EventLog events) {
+    private Optional<FleetSettings> reloadSettings(EventLog events) {
         try {
             final FleetSettings settings = FleetSettingsReader.read(settingsFile);
             events.write(LogEvent.SETTINGS_RELOADED, settings.name(), settings.seeds());
@@ -89,6 +91,6 @@
     }
 
     private static void haltNow() {
-        Runtime.getRuntime().halt(SECOND_SIGNAL_EXIT);
+        Runtime.getRuntime().halt(SECOND_SIGNAL_EXIT_CODE);
     }
 }
--- a/src/main/java/org/wigeongrade/command/FleetTrialCommand.java
+++ b/src/main/java/org/wigeongrade/command/FleetTrialCommand.java
@@ -33,25 +33,25 @@
 import org.wigeongrade.settings.NodeAddress;
 
 /**
- * Starts one control and one entry node in this process, on loopback ports, and ends. The build runs it to record which
- * classes a node loads. Not safe for use from several threads.
+ * Starts one control and one entry node in this process, on loopback ports, and exits after some seconds. The build
+ * runs it to record which classes a node loads. Not safe for use from several threads.
  */
 final class FleetTrialCommand extends Subcommand {
-    private static final String LOOPBACK = "127.0.0.1";
-    /** Another address of the loopback range, since the internal ports are the same on every VM. */
-    private static final String SECOND_LOOPBACK = "127.0.0.2";
+    private static final String CONTROL_IP = "127.0.0.1";
+    /** A second loopback address, since both nodes use the same internal port numbers. */
+    private static final String ENTRY_IP = "127.0.0.2";
 
-    private static final int INTERNAL_PORTS = 3;
-    /** Range of ports that are searched for free ones; below the usual range of outgoing connections. */
+    private static final int PORTS_PER_NODE = 3;
+    /** Lower end of the range in which free ports are searched, below the usual range of outgoing connections. */
     private static final int FIRST_PORT_MIN = 20_000;
 
     private static final int FIRST_PORT_MAX = 30_000;
-    private static final int PORT_TRIES = 200;
+    private static final int MAX_PORT_SEARCHES = 200;
 
     @Option(
             name = "--first-port",
             metaVar = "PORT",
-            usage = "first of six free loopback ports (default: any free ones)")
+            usage = "first of six consecutive free loopback ports (default: any free ones)")
     private int firstPort;
 
     @Option(name = "--seconds", metaVar = "N", usage = "how long the nodes run (default: 3)")
@@ -77,19 +77,19 @@
 
     private FleetSettings settings(FleetRole role) {
         final boolean isControl = role == FleetRole.CONTROL;
-        final int control = firstPort + INTERNAL_PORTS;
+        final int controlPort = firstPort + PORTS_PER_NODE;
         return new FleetSettings(
                 NodeName.of("trial"),
                 role,
                 AvailabilityZone.of("trial"),
-                isControl ? LOOPBACK : SECOND_LOOPBACK,
-                isControl ? LOOPBACK : SECOND_LOOPBACK,
-                isControl ? Optional.empty() : Optional.of(new NodeAddress(SECOND_LOOPBACK, control + 1)),
-                isControl ? Optional.empty() : Optional.of(new NodeAddress(SECOND_LOOPBACK, control + 2)),
-                isControl ? Optional.of(new NodeAddress(LOOPBACK, control)) : Optional.empty(),
+                isControl ? CONTROL_IP : ENTRY_IP,
+                isControl ? CONTROL_IP : ENTRY_IP,
+                isControl ? Optional.empty() : Optional.of(new NodeAddress(ENTRY_IP, controlPort + 1)),
+                isControl ? Optional.empty() : Optional.of(new NodeAddress(ENTRY_IP, controlPort + 2)),
+                isControl ? Optional.of(new NodeAddress(CONTROL_IP, controlPort)) : Optional.empty(),
                 firstPort,
                 firstPort + 2,
-                List.of(new NodeAddress(LOOPBACK, control)),
+                List.of(new NodeAddress(CONTROL_IP, controlPort)),
                 true,
                 isControl ? Optional.of(temporaryFolder()) : Optional.empty(),
                 Map.of(FleetKey.LOSSES_BORNE, 0.0));
@@ -97,20 +97,20 @@
 
     private static int findFreePorts() {
         return new SplittableRandom()
-                .ints(PORT_TRIES, FIRST_PORT_MIN, FIRST_PORT_MAX)
+                .ints(MAX_PORT_SEARCHES, FIRST_PORT_MIN, FIRST_PORT_MAX)
                 .filter(FleetTrialCommand::areFree)
                 .findFirst()
                 .orElseThrow(() -> new WigeongradeException(
-                        ErrorKind.INTERNAL, "no six free ports found; name the first one with --first-port"));
+                        ErrorKind.INTERNAL, "no six free consecutive ports found; pass the first one with --first-port"));
     }
 
     private static boolean areFree(int first) {
-        return IntStream.range(first, first + 2 * INTERNAL_PORTS).allMatch(FleetTrialCommand::isFree);
+        return IntStream.range(first, first + 2 * PORTS_PER_NODE).allMatch(FleetTrialCommand::isFree);
     }
 
     private static boolean isFree(int port) {
-        try (ServerSocket probe = new ServerSocket(port)) {
-            return probe.isBound();
+        try (ServerSocket socket = new ServerSocket(port)) {
+            return socket.isBound();
         } catch (IOException e) {
             return false;
         }
@@ -120,7 +120,7 @@
         try {
             return Files.createTempDirectory("wigeongrade-trial");
         } catch (IOException e) {
-            throw new UncheckedIOException("no temporary folder can be made", e);
+            throw new UncheckedIOException("a temporary folder cannot be created", e);
         }
     }
 }
--- a/src/main/java/org/wigeongrade/command/Node.java
+++ b/src/main/java/org/wigeongrade/command/Node.java
@@ -61,15 +61,16 @@
 /**
  * One process of this system: the entry role, and the control role on a VM with a data folder.
  *
- * <p>Invariant: a stop fails the health check first, then refuses new requests, then waits for those in flight, then ends
- * the roles. Thread safe.
+ * <p>Invariant: a graceful stop first fails the health check, then refuses new requests, then waits for those in
+ * flight, and finally closes the roles. Thread safe.
  */
 public final class Node implements NodeProcess {
-    private static final int MAX_ANSWER_BYTES = 64 * 1024 * 1024;
-    private static final int PEER_WORKER_THREADS = 8;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
+    private static final int THRIFT_WORKER_THREADS = 8;
     private static final int CLAIM_WORKER_THREADS = 16;
-    private static final long BALANCER_LEAD_MS = 1_000;
-    private static final int HALT_STATUS = 70;
+    /** Time between failing the health check and refusing requests, so that the load balancer stops sending first. */
+    private static final long BALANCER_DRAIN_DELAY_MS = 1_000;
+    private static final int LOG_FAILURE_EXIT_CODE = 70;
 
     private final NodeSettings settings;
     private final EventLog events;
@@ -77,18 +78,18 @@
     private final NodeTimings timings;
     private final LongSupplier nanoClock = System::nanoTime;
     private final LongSupplier epochMsClock = System::currentTimeMillis;
-    private final EntryRole entry;
+    private final EntryRole entryRole;
     private final InFlight inFlight;
     private final ImmutableMap<NodeName, PeerClient> peers;
-    private final ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1, daemon("timer"));
-    private final ExecutorService workers = Executors.newFixedThreadPool(CLAIM_WORKER_THREADS, daemon("worker-%d"));
+    private final ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1, daemonThreadFactory("timer"));
+    private final ExecutorService workers = Executors.newFixedThreadPool(CLAIM_WORKER_THREADS, daemonThreadFactory("worker-%d"));
     private final AtomicBoolean stopRequested = new AtomicBoolean();
     private final CountDownLatch stopped = new CountDownLatch(1);
 
-    private Optional<ControlRole> control = Optional.empty();
-    private Optional<PlacementLoop> placement = Optional.empty();
+    private Optional<ControlRole> controlRole = Optional.empty();
+    private Optional<PlacementLoop> placementLoop = Optional.empty();
     private NodeServer nodeServer;
-    private ViewPuller puller;
+    private ViewPuller viewPuller;
     private RatpackServer httpServer;
 
     public Node(NodeSettings settings, EventLog events, Metrics metrics) {
@@ -96,10 +97,10 @@
         this.events = events;
         this.metrics = metrics;
         this.timings = NodeTimings.of(settings.limits());
-        this.entry = new EntryRole(
+        this.entryRole = new EntryRole(
                 settings.name(),
                 settings.availabilityZone(),
-                callerAddress(settings),
+                advertisedAddress(settings),
                 settings.limits().pullIntervalMs(),
                 nanoClock);
         this.inFlight = new InFlight(metrics);
@@ -114,8 +115,8 @@
     public void start() {
         try {
             startRoles();
-        } catch (WigeongradeException known) {
-            throw known;
+        } catch (WigeongradeException e) {
+            throw e;
         } catch (Exception failure) {
             throw new WigeongradeException(
                     ErrorKind.INTERNAL, "node " + settings.name() + " did not start: " + failure, failure);
@@ -136,10 +137,10 @@
     }
 
     private void startRoles() throws Exception {
-        control = settings.logListen().map(this::openControl);
-        final ControlLink link = new ControlLink(settings.name(), control, controlPeers(), nanoClock);
-        puller = new ViewPuller(
-                entry,
+        controlRole = settings.logListen().map(this::openControlRole);
+        final ControlLink link = new ControlLink(settings.name(), controlRole, controlPeers(), nanoClock);
+        viewPuller = new ViewPuller(
+                entryRole,
                 link,
                 events,
                 metrics,
@@ -147,18 +148,18 @@
                 settings.limits().pullIntervalMs());
         nodeServer = new NodeServer(
                 settings.peerListen().toSocketAddress(),
-                new NodeService.Processor<>(new NodeServiceHandler(entry, control)),
-                PEER_WORKER_THREADS);
+                new NodeService.Processor<>(new NodeServiceHandler(entryRole, controlRole)),
+                THRIFT_WORKER_THREADS);
         nodeServer.start();
         httpServer = RatpackServer.of(server -> server.serverConfig(serverConfig())
                 .registryOf(this::addFailureHandlers)
                 .handlers(chain -> addHandlers(chain, link)));
         httpServer.start();
-        puller.start();
-        placement.ifPresent(PlacementLoop::start);
+        viewPuller.start();
+        placementLoop.ifPresent(PlacementLoop::start);
     }
 
-    private static String callerAddress(NodeSettings settings) {
+    private static String advertisedAddress(NodeSettings settings) {
         if (!settings.listen().isWildcard()) {
             return settings.listen().toString();
         }
@@ -187,7 +188,7 @@
                 .build();
     }
 
-    private ControlRole openControl(NodeAddress logListen) {
+    private ControlRole openControlRole(NodeAddress logListen) {
         final Map<NodeName, InetSocketAddress> logPeers = settings.controlPeers().stream()
                 .filter(peer -> !peer.name().equals(settings.name()))
                 .collect(Collectors.toMap(
@@ -198,16 +199,16 @@
         return new ControlRole(
                 settings.name(),
                 timings,
-                machine -> RaftReplicatedLog.open(logSettings, machine, this::logFailed),
+                stateMachine -> RaftReplicatedLog.open(logSettings, stateMachine, this::haltOnLogFailure),
                 nanoClock,
                 epochMsClock,
                 events);
     }
 
-    /** Ends the process at once: a replica whose disk or digest chain failed must not serve on. */
-    private void logFailed(RuntimeException failure) {
+    /** Ends the process at once: a replica whose disk or digest chain failed must not continue to serve. */
+    private void haltOnLogFailure(RuntimeException failure) {
         events.writeFault(LogEvent.DISK_FAILED, failure, settings.dataFolder().orElseThrow(), failure.getMessage());
-        Runtime.getRuntime().halt(HALT_STATUS);
+        Runtime.getRuntime().halt(LOG_FAILURE_EXIT_CODE);
     }
 
     private ImmutableMap<NodeName, PeerClient> controlPeers() {
@@ -219,31 +220,31 @@
 
     private void addHandlers(Chain chain, ControlLink link) throws Exception {
         final ExecController execController = chain.getRegistry().get(ExecController.class);
-        final EndpointClient client = new EndpointClient(execController, MAX_ANSWER_BYTES, nanoClock);
+        final EndpointClient client = new EndpointClient(execController, MAX_RESPONSE_BYTES, nanoClock);
         final Delay delay = (task, delayMs) -> {
-            final var unused = timers.schedule(task, delayMs, TimeUnit.MILLISECONDS);
+            final var unused = scheduler.schedule(task, delayMs, TimeUnit.MILLISECONDS);
         };
         final CallerServices services = new CallerServices(
-                entry,
+                entryRole,
                 link,
                 client,
-                new ColdSigns(entry, peers, workers, puller::pullSoon, events),
-                puller::pullSoon,
+                new ColdSigns(entryRole, peers, workers, viewPuller::pullSoon, events),
+                viewPuller::pullSoon,
                 delay,
                 workers,
                 epochMsClock,
                 metrics,
                 events,
                 settings.limits());
-        placement = control.map(role -> placementLoop(role, client));
-        chain.insert(new HealthApi(entry, metrics));
-        chain.insert(new EndpointApi(entry));
+        placementLoop = controlRole.map(role -> createPlacementLoop(role, client));
+        chain.insert(new HealthApi(entryRole, metrics));
+        chain.insert(new EndpointApi(entryRole));
         chain.insert(new OperatorApi(
-                entry, link, new Explanations(entry, control, link, peers), events, epochMsClock, this::stop));
+                entryRole, link, new Explanations(entryRole, controlRole, link, peers), events, epochMsClock, this::stop));
         chain.insert(new CallerApi(services, inFlight));
     }
 
-    private PlacementLoop placementLoop(ControlRole role, EndpointClient client) {
+    private PlacementLoop createPlacementLoop(ControlRole role, EndpointClient client) {
         final OrderSender orders =
                 new OrderSender(client, events, nanoClock, Duration.ofNanos(timings.orderTimeoutNanos()));
         return new PlacementLoop(role, orders, new FleetMeasures(metrics, events), events);
@@ -252,19 +253,19 @@
     private void stopGracefully() {
         final long startNanos = nanoClock.getAsLong();
         events.write(LogEvent.NODE_STOPPING, settings.name(), "an operator's request or a signal", inFlight.count());
-        entry.leave();
-        Uninterruptibles.sleepUninterruptibly(BALANCER_LEAD_MS, TimeUnit.MILLISECONDS);
-        entry.stop();
-        awaitRequests();
-        puller.pullSoon();
+        entryRole.leave();
+        Uninterruptibles.sleepUninterruptibly(BALANCER_DRAIN_DELAY_MS, TimeUnit.MILLISECONDS);
+        entryRole.stop();
+        awaitRequestsInFlight();
+        viewPuller.pullSoon();
         Uninterruptibles.sleepUninterruptibly(settings.limits().pullIntervalMs(), TimeUnit.MILLISECONDS);
-        endRoles();
+        closeRoles();
         final long elapsedMs = TimeUnit.NANOSECONDS.toMillis(nanoClock.getAsLong() - startNanos);
         events.write(LogEvent.NODE_STOPPED, settings.name(), elapsedMs);
         stopped.countDown();
     }
 
-    private void awaitRequests() {
+    private void awaitRequestsInFlight() {
         try {
             if (!inFlight.awaitNone(settings.limits().stopDeadlineMs())) {
                 events.write(LogEvent.NODE_STOP_CUT_SHORT, settings.name(), inFlight.count(), "the stop deadline");
@@ -274,14 +275,14 @@
         }
     }
 
-    private void endRoles() {
-        placement.ifPresent(PlacementLoop::close);
-        puller.close();
+    private void closeRoles() {
+        placementLoop.ifPresent(PlacementLoop::close);
+        viewPuller.close();
         stopHttp();
         nodeServer.close();
-        control.ifPresent(ControlRole::close);
+        controlRole.ifPresent(ControlRole::close);
         workers.shutdown();
-        timers.shutdownNow();
+        scheduler.shutdownNow();
         peers.values().forEach(PeerClient::close);
     }
 
@@ -293,7 +294,7 @@
         }
     }
 
-    private static ThreadFactory daemon(String nameFormat) {
+    private static ThreadFactory daemonThreadFactory(String nameFormat) {
         return new ThreadFactoryBuilder()
                 .setNameFormat(nameFormat)
                 .setDaemon(true)
--- a/src/main/java/org/wigeongrade/command/NodeCommand.java
+++ b/src/main/java/org/wigeongrade/command/NodeCommand.java
@@ -15,13 +15,13 @@
 import org.wigeongrade.metrics.Metrics;
 import org.wigeongrade.settings.Fault;
 import org.wigeongrade.settings.NodeSettings;
-import org.wigeongrade.settings.SettingsOutcome;
+import org.wigeongrade.settings.SettingsResult;
 import org.wigeongrade.settings.SettingsReader;
 
 /** Runs one node until it is stopped. Not safe for use from several threads. */
 final class NodeCommand extends Subcommand {
-    private static final NodeFactory NODES = Node::new;
-    private static final int SECOND_SIGNAL_EXIT = 143;
+    private static final NodeFactory NODE_FACTORY = Node::new;
+    private static final int SECOND_SIGNAL_EXIT_CODE = 143;
     private static final Duration HALT_LOG_TIMEOUT = Duration.ofMillis(200);
 
     @Option(name = "--settings", required = true, metaVar = "FILE", usage = "TOML file with the node's settings")
@@ -39,7 +39,7 @@
     @Override
     protected String helpText() {
         return """
-                Every fault of the settings file is listed at once and nothing starts on a bad file.
+                All faults of the settings file are listed at once, and the node does not start if there are any.
                 SIGTERM or SIGINT stops the node gracefully; a second one ends the process at once (exit code 143).
                 """;
     }
@@ -53,7 +53,7 @@
         }
         installLog();
         final EventLog events = new EventLog();
-        final NodeProcess node = NODES.create(settings, events, new Metrics().withJvm());
+        final NodeProcess node = NODE_FACTORY.create(settings, events, new Metrics().withJvm());
         StopSignals.install(node::stop, () -> haltNow(settings, events));
         node.start();
         awaitStopped(node);
@@ -61,40 +61,40 @@
     }
 
     private NodeSettings readSettings() {
-        final SettingsOutcome outcome = SettingsReader.readAll(settingsFile);
-        if (outcome instanceof SettingsOutcome.Valid valid) {
+        final SettingsResult outcome = SettingsReader.tryRead(settingsFile);
+        if (outcome instanceof SettingsResult.Valid valid) {
             return valid.settings();
         }
-        final ImmutableList<Fault> faults = ((SettingsOutcome.Invalid) outcome).faults();
+        final ImmutableList<Fault> faults = ((SettingsResult.Invalid) outcome).faults();
         throw new CommandException(
                 ExitCode.BAD_FILE,
                 ErrorKind.INVALID_CONFIGURATION.code(),
                 faults.size() + " fault(s) in settings file " + settingsFile + "; nothing was started",
                 faults.stream().map(Fault::toLine).toList(),
-                "mend every listed line and start the node again; docs/operators/settings.md explains each key");
+                "correct every listed line and start the node again; docs/operators/settings.md explains each key");
     }
 
     private void installLog() {
         try {
             LogSetup.install(LogLevel.of(logLevel), Optional.ofNullable(logFile));
         } catch (IllegalArgumentException e) {
-            throw CommandException.usage(e.getMessage(), "write --log-level info");
+            throw CommandException.usage(e.getMessage(), "pass --log-level info");
         } catch (UncheckedIOException e) {
             throw new CommandException(
                     ExitCode.BAD_FILE,
                     "bad_file",
                     e.getMessage() + ": " + e.getCause(),
-                    "name a file that can be written");
+                    "pass a file that can be written");
         }
     }
 
-    /** Ends the process, also if the log cannot be written. */
+    /** Ends the process. The event is logged on another thread, so that a blocked log cannot prevent the exit. */
     private static void haltNow(NodeSettings settings, EventLog events) {
-        final Thread record = new Thread(
+        final Thread logThread = new Thread(
                 () -> events.write(LogEvent.NODE_STOP_CUT_SHORT, settings.name(), null, "a second signal"), "halt-log");
-        record.start();
-        Uninterruptibles.joinUninterruptibly(record, HALT_LOG_TIMEOUT);
-        Runtime.getRuntime().halt(SECOND_SIGNAL_EXIT);
+        logThread.start();
+        Uninterruptibles.joinUninterruptibly(logThread, HALT_LOG_TIMEOUT);
+        Runtime.getRuntime().halt(SECOND_SIGNAL_EXIT_CODE);
     }
 
     private static void awaitStopped(NodeProcess node) {
--- a/src/main/java/org/wigeongrade/command/OperatorCall.java
+++ b/src/main/java/org/wigeongrade/command/OperatorCall.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * One call to the operators' HTTP API. A change carries its change id in the query, so the same call may be sent again.
+ * One call to the operator HTTP API. A change carries its change id in the query, so the same call may be sent again.
  * Immutable; safe for use from any thread.
  */
 record OperatorCall(String method, String pathAndQuery, String body) {
-    /** Returns the call that the platform's balancer uses to check a node. */
+    /** Returns the health check that the platform's load balancer sends to a node. */
     static OperatorCall health() {
         return new OperatorCall("GET", "/health", "");
     }
--- a/src/main/java/org/wigeongrade/command/OutputFormat.java
+++ b/src/main/java/org/wigeongrade/command/OutputFormat.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Form in which a command prints its result. Immutable; safe for use from any thread. */
+/** Format in which a command prints its result. Immutable; safe for use from any thread. */
 public enum OutputFormat {
     TEXT,
     JSON;
@@ -10,7 +10,7 @@
     /** Returns the result as text that ends with a line break. */
     public String render(JsonNode result) {
         return switch (this) {
-            case TEXT -> TextTables.render(result);
+            case TEXT -> TextRenderer.render(result);
             case JSON -> result.toPrettyString() + "\n";
         };
     }
--- a/src/main/java/org/wigeongrade/command/StandinSubcommand.java
+++ b/src/main/java/org/wigeongrade/command/StandinSubcommand.java
@@ -7,7 +7,7 @@
 import org.wigeongrade.logging.LogSetup;
 import org.wigeongrade.standin.StandinCommand;
 
-/** Runs a stand-in until the process is ended. Not safe for use from several threads. */
+/** Runs a stand-in until the process is terminated. Not safe for use from several threads. */
 final class StandinSubcommand extends Subcommand {
     private final StandinCommand standin;
 
@@ -34,7 +34,7 @@
                     ExitCode.INTERNAL,
                     "standin_failed",
                     "the stand-in did not start: " + e,
-                    "see that its address is free and its options are right");
+                    "check that its address is free and its options are correct");
         }
     }
 }
--- a/src/main/java/org/wigeongrade/command/StatusCommand.java
+++ b/src/main/java/org/wigeongrade/command/StatusCommand.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.command;
 
-/** Prints which nodes have which revision in force, the groups and the zones. Not safe for use from several threads. */
+/** Prints the revision in force on each node, the groups and the zones. Not safe for use from several threads. */
 final class StatusCommand extends EntrySubcommand {
     @Override
     protected ExitCode run(CommandIo io) {
--- a/src/main/java/org/wigeongrade/command/StopSignals.java
+++ b/src/main/java/org/wigeongrade/command/StopSignals.java
@@ -6,30 +6,33 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Routes SIGTERM and SIGINT: the first one begins a graceful stop, the next one ends the process. The JDK's signal class
- * is reached by reflection, since a shutdown hook never learns of a second signal. Safe for use from any thread.
+ * Handles SIGTERM and SIGINT: the first one begins a graceful stop, the next one ends the process. Uses the JDK's
+ * signal class by reflection, since a shutdown hook is not told of a second signal. Safe for use from any thread.
  */
 final class StopSignals {
-    private static final List<String> NAMES = List.of("TERM", "INT");
+    private static final List<String> STOP_SIGNALS = List.of("TERM", "INT");
 
     private StopSignals() {}
 
-    /** Installs the handlers; {@code first} runs once, {@code next} on each later signal. */
-    static void install(Runnable first, Runnable next) {
+    /**
+     * Installs the handlers of SIGTERM and SIGINT; {@code onFirstSignal} runs once, {@code onLaterSignal} on each later
+     * signal.
+     */
+    static void install(Runnable onFirstSignal, Runnable onLaterSignal) {
         final AtomicBoolean stopping = new AtomicBoolean();
         final InvocationHandler handler = (proxy, method, arguments) -> {
             if (!method.getName().equals("handle")) {
                 return method.invoke(stopping, arguments);
             }
-            (stopping.compareAndSet(false, true) ? first : next).run();
+            (stopping.compareAndSet(false, true) ? onFirstSignal : onLaterSignal).run();
             return null;
         };
-        NAMES.forEach(name -> handle(name, handler));
+        STOP_SIGNALS.forEach(name -> installHandler(name, handler));
     }
 
-    /** Installs the handler of SIGHUP; it runs on each one. */
-    static void onHangUp(Runnable action) {
-        handle("HUP", (proxy, method, arguments) -> {
+    /** Installs a handler that runs on each SIGHUP. */
+    static void onSighup(Runnable action) {
+        installHandler("HUP", (proxy, method, arguments) -> {
             if (!method.getName().equals("handle")) {
                 return method.invoke(action, arguments);
             }
@@ -38,7 +41,7 @@
         });
     }
 
-    private static void handle(String name, InvocationHandler handler) {
+    private static void installHandler(String name, InvocationHandler handler) {
         try {
             final Class<?> signal = Class.forName("sun.misc.Signal");
             final Class<?> signalHandler = Class.forName("sun.misc.SignalHandler");
--- a/src/main/java/org/wigeongrade/command/TextTables.java
+++ b/src/main/java/org/wigeongrade/command/TextRenderer.java
@@ -11,14 +11,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Writes a JSON result as text: an array of objects becomes a table, an object a list of its fields. No field is
- * dropped, whatever its name. Stateless; safe for use from any thread.
+ * Renders a JSON result as text: an array of objects becomes a table, an object becomes a list of its fields. Fields
+ * that this program does not know are printed too. Stateless; safe for use from any thread.
  */
-final class TextTables {
+final class TextRenderer {
     private static final String INDENT = "  ";
-    private static final String ABSENT = "-";
+    private static final String EMPTY_CELL = "-";
 
-    private TextTables() {}
+    private TextRenderer() {}
 
     static String render(JsonNode result) {
         final StringBuilder text = new StringBuilder();
@@ -34,13 +34,13 @@
         } else if (node.isArray()) {
             node.forEach(element -> appendElement(text, element, indent));
         } else {
-            text.append(indent).append(cell(node)).append('\n');
+            text.append(indent).append(cellText(node)).append('\n');
         }
     }
 
     private static void appendElement(StringBuilder text, JsonNode element, String indent) {
         if (element.isValueNode()) {
-            text.append(indent).append(cell(element)).append('\n');
+            text.append(indent).append(cellText(element)).append('\n');
             return;
         }
         append(text, element, indent + INDENT);
@@ -48,17 +48,17 @@
 
     private static void appendObject(StringBuilder text, JsonNode object, String indent) {
         final int width = object.properties().stream()
-                .filter(field -> isCell(field.getValue()))
+                .filter(field -> fitsInCell(field.getValue()))
                 .mapToInt(field -> field.getKey().length())
                 .max()
                 .orElse(0);
         for (final Map.Entry<String, JsonNode> field : object.properties()) {
-            if (isCell(field.getValue())) {
+            if (fitsInCell(field.getValue())) {
                 final String name = Strings.padEnd(field.getKey(), width, ' ');
                 text.append(indent)
                         .append(name)
                         .append(INDENT)
-                        .append(cell(field.getValue()))
+                        .append(cellText(field.getValue()))
                         .append('\n');
                 continue;
             }
@@ -68,54 +68,54 @@
     }
 
     private static void appendTable(StringBuilder text, JsonNode rows, String indent) {
-        final Set<String> names = new LinkedHashSet<>();
-        rows.forEach(row -> row.fieldNames().forEachRemaining(names::add));
-        final List<List<String>> lines = new ArrayList<>();
-        lines.add(List.copyOf(names));
-        rows.forEach(row -> lines.add(names.stream()
-                .map(name -> row.has(name) ? cell(row.get(name)) : ABSENT)
+        final Set<String> columns = new LinkedHashSet<>();
+        rows.forEach(row -> row.fieldNames().forEachRemaining(columns::add));
+        final List<List<String>> tableRows = new ArrayList<>();
+        tableRows.add(List.copyOf(columns));
+        rows.forEach(row -> tableRows.add(columns.stream()
+                .map(column -> row.has(column) ? cellText(row.get(column)) : EMPTY_CELL)
                 .toList()));
-        final int[] widths = new int[names.size()];
-        lines.forEach(line -> widen(widths, line));
-        lines.forEach(line -> text.append(indent).append(pad(line, widths)).append('\n'));
+        final int[] widths = new int[columns.size()];
+        tableRows.forEach(cells -> updateColumnWidths(widths, cells));
+        tableRows.forEach(cells -> text.append(indent).append(alignColumns(cells, widths)).append('\n'));
     }
 
-    private static void widen(int[] widths, List<String> line) {
-        for (int i = 0; i < line.size(); i++) {
-            widths[i] = Math.max(widths[i], line.get(i).length());
+    private static void updateColumnWidths(int[] widths, List<String> cells) {
+        for (int i = 0; i < cells.size(); i++) {
+            widths[i] = Math.max(widths[i], cells.get(i).length());
         }
     }
 
-    private static String pad(List<String> line, int[] widths) {
-        final StringBuilder padded = new StringBuilder();
-        for (int i = 0; i < line.size(); i++) {
-            padded.append(Strings.padEnd(line.get(i), widths[i], ' ')).append(INDENT);
+    private static String alignColumns(List<String> cells, int[] widths) {
+        final StringBuilder aligned = new StringBuilder();
+        for (int i = 0; i < cells.size(); i++) {
+            aligned.append(Strings.padEnd(cells.get(i), widths[i], ' ')).append(INDENT);
         }
-        return padded.toString().stripTrailing();
+        return aligned.toString().stripTrailing();
     }
 
     private static boolean isTable(JsonNode node) {
         return node.isArray()
                 && !node.isEmpty()
                 && Streams.stream(node)
-                        .allMatch(row -> row.isObject() && Streams.stream(row).allMatch(TextTables::isCell));
+                        .allMatch(row -> row.isObject() && Streams.stream(row).allMatch(TextRenderer::fitsInCell));
     }
 
-    private static boolean isCell(JsonNode node) {
-        return node.isValueNode() || node.isEmpty() || isList(node);
+    private static boolean fitsInCell(JsonNode node) {
+        return node.isValueNode() || node.isEmpty() || isValueArray(node);
     }
 
-    private static boolean isList(JsonNode node) {
+    private static boolean isValueArray(JsonNode node) {
         return node.isArray() && Streams.stream(node).allMatch(JsonNode::isValueNode);
     }
 
-    private static String cell(JsonNode node) {
+    private static String cellText(JsonNode node) {
         if (node.isNull() || (node.isContainerNode() && node.isEmpty())) {
-            return ABSENT;
+            return EMPTY_CELL;
         }
         if (node.isArray()) {
             return Streams.stream(node).map(JsonNode::asText).collect(Collectors.joining(","));
         }
-        return node.asText().isEmpty() ? ABSENT : node.asText();
+        return node.asText().isEmpty() ? EMPTY_CELL : node.asText();
     }
 }
--- a/src/main/java/org/wigeongrade/command/WhyCommand.java
+++ b/src/main/java/org/wigeongrade/command/WhyCommand.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import org.kohsuke.args4j.Argument;
 
-/** Prints the decisions about one object, the newest last. Not safe for use from several threads. */
+/** Prints the recorded decisions about one object, the newest last. Not safe for use from several threads. */
 final class WhyCommand extends EntrySubcommand {
     /** Kinds of objects that decisions are recorded for. */
     enum ObjectKind {
@@ -26,7 +26,7 @@
             usage = "kind of the object")
     private ObjectKind kind;
 
-    @Argument(index = 1, required = true, metaVar = "ID", usage = "name of the object, or a request id of an answer")
+    @Argument(index = 1, required = true, metaVar = "ID", usage = "name of the object, or the request id from a response")
     private String id;
 
     @Override
--- a/src/main/java/org/wigeongrade/command/ZoneCommand.java
+++ b/src/main/java/org/wigeongrade/command/ZoneCommand.java
@@ -3,9 +3,9 @@
 import java.util.Locale;
 import org.kohsuke.args4j.Argument;
 
-/** Takes an availability zone out of service or brings it back in. Not safe for use from several threads. */
+/** Takes an availability zone out of service or brings it back. Not safe for use from several threads. */
 final class ZoneCommand extends ChangeSubcommand {
-    /** What may be done to a zone. */
+    /** The two changes of a zone. */
     enum ZoneAction {
         IN,
         OUT;
@@ -24,7 +24,7 @@
     @Override
     protected String helpText() {
         return """
-                A zone that is out receives no new work a few seconds later; requests in flight run to their end.
+                A zone that is taken out receives no new work after a few seconds; requests in flight are completed.
 
                 example: wigeongrade zone out scot-central-a
                 """;
@@ -34,6 +34,6 @@
     protected ExitCode run(CommandIo io) {
         final OperatorCall call = OperatorCall.post("", changeQuery(io), "zones", zone, action.pathSegment());
         final EntryClient client = client(io);
-        return finish(io, client, client.send(call));
+        return printAndAwait(io, client, client.send(call));
     }
 }
--- a/src/main/java/org/wigeongrade/logging/QueuedHandler.java
+++ b/src/main/java/org/wigeongrade/logging/AsyncHandler.java
@@ -9,29 +9,29 @@
 import java.util.logging.LogRecord;
 
 /**
- * Hands records to another handler on a thread of its own.
+ * Passes records to another handler on a dedicated thread.
  *
- * <p>Invariant: publishing never waits; a record that finds the queue full is dropped, and the number of dropped records
- * is written with the next one that passes. Thread safe.
+ * <p>Invariant: publishing never blocks; a record is dropped if the queue is full, and the number of dropped records is
+ * logged before the next record that is written. Thread safe.
  */
-final class QueuedHandler extends Handler {
-    /** Records that may wait, some seconds' worth of a busy node. */
-    private static final int CAPACITY = 4_096;
+final class AsyncHandler extends Handler {
+    /** Records that may wait in the queue; a busy node writes that many in some seconds. */
+    private static final int QUEUE_CAPACITY = 4_096;
     /** Longest wait for the queue to empty when the process ends, in milliseconds. */
-    private static final long CLOSE_WAIT_MS = 300;
+    private static final long CLOSE_TIMEOUT_MS = 300;
 
     private final Handler target;
-    private final BlockingQueue<LogRecord> queue = new LinkedBlockingQueue<>(CAPACITY);
-    private final AtomicLong dropped = new AtomicLong();
-    private final Thread worker = new Thread(this::run, "log");
+    private final BlockingQueue<LogRecord> queue = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
+    private final AtomicLong droppedCount = new AtomicLong();
+    private final Thread worker = new Thread(this::writeQueuedRecords, "log");
 
-    private QueuedHandler(Handler target) {
+    private AsyncHandler(Handler target) {
         this.target = target;
         worker.setDaemon(true);
     }
 
-    static QueuedHandler start(Handler target) {
-        final QueuedHandler handler = new QueuedHandler(target);
+    static AsyncHandler start(Handler target) {
+        final AsyncHandler handler = new AsyncHandler(target);
         handler.setLevel(Level.ALL);
         handler.worker.start();
         return handler;
@@ -40,17 +40,17 @@
     @Override
     public void publish(LogRecord logRecord) {
         if (!queue.offer(logRecord)) {
-            dropped.incrementAndGet();
+            droppedCount.incrementAndGet();
         }
     }
 
-    private void run() {
+    private void writeQueuedRecords() {
         try {
             while (true) {
                 final LogRecord next = queue.take();
-                final long lost = dropped.getAndSet(0);
-                if (lost > 0) {
-                    target.publish(droppedRecord(lost));
+                final long droppedSinceLastWrite = droppedCount.getAndSet(0);
+                if (droppedSinceLastWrite > 0) {
+                    target.publish(droppedRecord(droppedSinceLastWrite));
                 }
                 target.publish(next);
             }
@@ -74,7 +74,7 @@
 
     @Override
     public void close() {
-        final long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSE_WAIT_MS);
+        final long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSE_TIMEOUT_MS);
         while (!queue.isEmpty() && System.nanoTime() - deadlineNanos < 0) {
             Thread.onSpinWait();
         }
--- a/src/main/java/org/wigeongrade/logging/EventLog.java
+++ b/src/main/java/org/wigeongrade/logging/EventLog.java
@@ -10,8 +10,8 @@
 /**
  * Writes numbered events through {@link System.Logger}.
  *
- * <p>Invariant: each event passes its {@link EventBudget}; suppressed records are counted and the count is written. Safe
- * for use from any thread.
+ * <p>Invariant: each event has its own {@link EventRateLimiter}; suppressed records are counted and the count is
+ * logged. Safe for use from any thread.
  */
 public final class EventLog {
     /** Name of the logger that all events are written to. */
@@ -19,10 +19,10 @@
 
     private final Logger logger;
     private final LongSupplier clockNanos;
-    private final ImmutableMap<LogEvent, EventBudget> budgets =
-            Maps.toMap(Arrays.asList(LogEvent.values()), event -> new EventBudget());
+    private final ImmutableMap<LogEvent, EventRateLimiter> rateLimiters =
+            Maps.toMap(Arrays.asList(LogEvent.values()), event -> new EventRateLimiter());
 
-    /** Creates a log on the system's logger and monotonic clock. */
+    /** Creates a log that uses the system's logger and monotonic clock. */
     public EventLog() {
         this(System.getLogger(LOGGER_NAME), System::nanoTime);
     }
@@ -34,26 +34,26 @@
 
     /** Writes one event; {@code values} are given in the order of {@link LogEvent#fields}. */
     public void write(LogEvent event, Object... values) {
-        if (passes(event)) {
+        if (shouldWrite(event)) {
             logger.log(event.level(), "{0}", EventRecord.of(event, values));
         }
     }
 
-    /** Writes one event followed by the stack trace of its cause. */
-    public void writeFault(LogEvent event, Throwable fault, Object... values) {
-        if (passes(event)) {
-            logger.log(event.level(), EventRecord.of(event, values).toString(), fault);
+    /** Writes one event, followed by the stack trace of the exception that caused it. */
+    public void writeFault(LogEvent event, Throwable cause, Object... values) {
+        if (shouldWrite(event)) {
+            logger.log(event.level(), EventRecord.of(event, values).toString(), cause);
         }
     }
 
-    private boolean passes(LogEvent event) {
+    private boolean shouldWrite(LogEvent event) {
         if (!logger.isLoggable(event.level())) {
             return false;
         }
-        final OptionalLong suppressed = budgets.get(event).tryPass(clockNanos.getAsLong());
+        final OptionalLong suppressed = rateLimiters.get(event).tryAcquire(clockNanos.getAsLong());
         if (suppressed.orElse(0) > 0) {
-            final EventRecord count = EventRecord.of(LogEvent.RECORDS_SUPPRESSED, suppressed.getAsLong(), event.code());
-            logger.log(LogEvent.RECORDS_SUPPRESSED.level(), "{0}", count);
+            final EventRecord suppressedRecord = EventRecord.of(LogEvent.RECORDS_SUPPRESSED, suppressed.getAsLong(), event.code());
+            logger.log(LogEvent.RECORDS_SUPPRESSED.level(), "{0}", suppressedRecord);
         }
         return suppressed.isPresent();
     }
--- a/src/main/java/org/wigeongrade/logging/LogEvent.java
+++ b/src/main/java/org/wigeongrade/logging/LogEvent.java
@@ -6,7 +6,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The closed list of log events. The message names its fields in braces; the values are given in that order.
+ * Every event that the system logs. A message template names its fields in braces; values are passed in that order.
  *
  * <p>Invariant: numbers are unique and never reused; docs/EVENTS.md lists the same events. Immutable; safe for use from
  * any thread.
@@ -17,10 +17,10 @@
     NODE_STOPPED(1003, Level.INFO, "node {node} stopped after {elapsed_ms} ms"),
     NODE_STOP_CUT_SHORT(1004, Level.WARNING, "node {node} stopped with {in_flight} requests cut short by {cause}"),
     NODE_START_FAILED(1005, Level.ERROR, "node {node} did not start: {cause}"),
-    SETTINGS_RELOADED(1006, Level.INFO, "settings of node {node} read again, seeds {seeds}"),
-    SETTINGS_REFUSED(1007, Level.WARNING, "settings file {file} not taken up: {cause}"),
+    SETTINGS_RELOADED(1006, Level.INFO, "settings of node {node} reloaded, seeds {seeds}"),
+    SETTINGS_REFUSED(1007, Level.WARNING, "settings file {file} rejected: {cause}"),
 
-    VIEW_LEASE_LOST(1101, Level.WARNING, "view lease ran out at revision {revision}; no new work is sent"),
+    VIEW_LEASE_LOST(1101, Level.WARNING, "view lease expired at revision {revision}; no new work is sent"),
     VIEW_LEASE_REGAINED(1102, Level.INFO, "view lease regained at revision {revision} after {elapsed_ms} ms"),
     VIEW_PULL_FAILED(1103, Level.WARNING, "view pull from {peer} failed: {cause}"),
     VIEW_CHANGED(1104, Level.INFO, "view of revision {revision} is in force on this node"),
@@ -30,7 +30,7 @@
     SNAPSHOT_TAKEN(1203, Level.INFO, "snapshot at log position {position} taken, {size_bytes} bytes"),
     SNAPSHOT_INSTALLED(1204, Level.INFO, "snapshot at log position {position} installed from {peer}"),
     DISK_FAILED(1205, Level.ERROR, "data folder {data_folder} failed: {cause}"),
-    LOG_TAIL_CUT(1206, Level.WARNING, "torn log tail cut at position {position}, {size_bytes} bytes dropped"),
+    LOG_TAIL_CUT(1206, Level.WARNING, "torn log tail truncated at position {position}, {size_bytes} bytes dropped"),
     REPLICA_DIVERGED(1207, Level.ERROR, "log replica differs from the leader at position {position}; node stops"),
     VOTER_CAUGHT_UP(1208, Level.INFO, "control VM {peer} caught up at position {position} and votes"),
     LOG_DISK_LOST(1209, Level.ERROR, "log of data folder {data_folder} is lost: {cause}; starting as a learner"),
@@ -52,7 +52,7 @@
     PLACEMENT_FAILED(1408, Level.WARNING, "placement could not be carried out: {cause}"),
     GROUP_PHASE_CHANGED(1409, Level.INFO, "group {group} of model {model} is {phase} with VMs {members}: {cause}"),
 
-    ENDPOINT_COLD(1501, Level.WARNING, "endpoint {endpoint} is cold: {cause}; its load is held to {slots} requests"),
+    ENDPOINT_COLD(1501, Level.WARNING, "endpoint {endpoint} is cold: {cause}; its load is limited to {slots} requests"),
     ENDPOINT_WARM(1502, Level.INFO, "endpoint {endpoint} is warm; its load may reach {slots} requests"),
     ENDPOINT_ANNOUNCED(1503, Level.INFO, "endpoint VM {vm} announced itself with incarnation {incarnation}"),
     ENDPOINT_ABSENT(1504, Level.WARNING, "endpoint VM {vm} stopped announcing itself"),
@@ -69,18 +69,18 @@
             1605, Level.WARNING, "claim {key} of organisation {organisation} ended with unknown outcome: {cause}"),
     REQUEST_QUARANTINED(
             1606, Level.WARNING, "request digest {digest} quarantined after it crashed {crashes} endpoints"),
-    ANSWER_REJECTED(1607, Level.WARNING, "answer of endpoint {endpoint} to request {request} rejected: {cause}"),
-    REQUEST_FAULT(1608, Level.ERROR, "request {request} met a fault of this system: {cause}"),
+    ANSWER_REJECTED(1607, Level.WARNING, "response of endpoint {endpoint} to request {request} rejected: {cause}"),
+    REQUEST_FAULT(1608, Level.ERROR, "request {request} failed with an internal error: {cause}"),
     REQUEST_SENT(
             1609,
             Level.INFO,
-            "request {request} of {organisation} on route {route} sent to {endpoint}: {running} running there,"
+            "request {request} of {organisation} on route {route} sent to {endpoint}: {running} requests running there,"
                     + " {predicted_ms} ms predicted, {candidates} candidates, view {view_age_ms} ms old, configuration"
                     + " {version}, {remaining_ms} ms left"),
     REQUEST_ANSWERED(
             1610,
             Level.INFO,
-            "request {request} answered with {status} by {endpoint}: first bytes after {first_ms} ms, whole after"
+            "request {request} answered with {status} by {endpoint}: first bytes after {first_ms} ms, complete after"
                     + " {elapsed_ms} ms, {sends} sends, {events} events"),
     REQUEST_FAILED(1611, Level.WARNING, "request {request} failed with {code} after {elapsed_ms} ms: {cause}"),
     REQUEST_CANCELLED(1612, Level.INFO, "request {request} cancelled by its caller after {elapsed_ms} ms"),
@@ -111,27 +111,27 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the number that docs and alerts refer to. */
+    /** Returns the number by which docs and alerts refer to the event. */
     public int number() {
         return number;
     }
 
-    /** Returns the name as it stands in the log, for example {@code node_started}. */
+    /** Returns the name as it is written in the log, for example {@code node_started}. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the level that the event is written at. */
+    /** Returns the level at which the event is logged. */
     public Level level() {
         return level;
     }
 
-    /** Returns the message with its field names in braces. */
+    /** Returns the message template, with the field names in braces. */
     public String template() {
         return template;
     }
 
-    /** Returns the field names in the order in which their values are given. */
+    /** Returns the field names in the order in which their values are passed. */
     public ImmutableList<String> fields() {
         return fields;
     }
--- a/src/main/java/org/wigeongrade/logging/LogLevel.java
+++ b/src/main/java/org/wigeongrade/logging/LogLevel.java
@@ -10,7 +10,7 @@
     WARNING,
     ERROR;
 
-    Level level() {
+    Level toJavaLevel() {
         return switch (this) {
             case DEBUG -> Level.FINE;
             case INFO -> Level.INFO;
@@ -19,7 +19,9 @@
         };
     }
 
-    /** Reads a level in any case; throws {@link IllegalArgumentException} that lists the levels. */
+    /**
+     * Parses a level, ignoring case; throws an {@link IllegalArgumentException} that lists the levels if it is unknown.
+     */
     public static LogLevel of(String text) {
         try {
             return valueOf(text.toUpperCase(Locale.ROOT));
--- a/src/main/java/org/wigeongrade/logging/LogSetup.java
+++ b/src/main/java/org/wigeongrade/logging/LogSetup.java
@@ -16,10 +16,10 @@
 
 /** Sends all log records of this process to stderr or to one file. Call it once, before other threads start. */
 public final class LogSetup {
-    /** Held here, since java.util.logging drops the level of a logger that nothing refers to. */
-    private static final Logger EVENTS = Logger.getLogger(EventLog.LOGGER_NAME);
+    /** Strong reference, since java.util.logging loses the level of a logger that is garbage-collected. */
+    private static final Logger EVENT_LOGGER = Logger.getLogger(EventLog.LOGGER_NAME);
 
-    private static final String LIBRARY = "library";
+    private static final String LIBRARY_RECORDS = "library";
 
     private LogSetup() {}
 
@@ -33,19 +33,19 @@
         final Logger root = Logger.getLogger("");
         root.setLevel(Level.WARNING);
         root.addHandler(new FlushingHandler(open(file)));
-        EVENTS.setLevel(level.level());
+        EVENT_LOGGER.setLevel(level.toJavaLevel());
     }
 
     /**
-     * Sends every record to standard output, without ever waiting for whoever reads it; records beyond a bounded queue
-     * are dropped and counted.
+     * Sends every record to standard output without ever blocking on a slow reader; records that do not fit into a
+     * bounded queue are dropped and counted.
      */
     public static void installOnStandardOutput(LogLevel level) {
         LogManager.getLogManager().reset();
         final Logger root = Logger.getLogger("");
         root.setLevel(Level.WARNING);
-        root.addHandler(QueuedHandler.start(new FlushingHandler(System.out)));
-        EVENTS.setLevel(level.level());
+        root.addHandler(AsyncHandler.start(new FlushingHandler(System.out)));
+        EVENT_LOGGER.setLevel(level.toJavaLevel());
     }
 
     private static OutputStream open(Optional<Path> file) {
@@ -59,26 +59,28 @@
         }
     }
 
-    /** Writes each record at once; records of libraries pass one common budget. Safe for use from any thread. */
+    /**
+     * Flushes each record immediately; the records of all libraries share one rate limit. Safe for use from any thread.
+     */
     private static final class FlushingHandler extends StreamHandler {
-        private final EventBudget libraryBudget = new EventBudget();
+        private final EventRateLimiter libraryRateLimiter = new EventRateLimiter();
 
         FlushingHandler(OutputStream stream) {
-            super(stream, new LineFormatter());
+            super(stream, new LogfmtFormatter());
             setLevel(Level.ALL);
         }
 
         @Override
         public synchronized void publish(LogRecord logRecord) {
-            if (!EventLog.LOGGER_NAME.equals(logRecord.getLoggerName()) && !libraryRecordPasses()) {
+            if (!EventLog.LOGGER_NAME.equals(logRecord.getLoggerName()) && !shouldWriteLibraryRecord()) {
                 return;
             }
             super.publish(logRecord);
             flush();
         }
 
-        private boolean libraryRecordPasses() {
-            final OptionalLong suppressed = libraryBudget.tryPass(System.nanoTime());
+        private boolean shouldWriteLibraryRecord() {
+            final OptionalLong suppressed = libraryRateLimiter.tryAcquire(System.nanoTime());
             if (suppressed.orElse(0) > 0) {
                 super.publish(suppressedRecord(suppressed.getAsLong()));
             }
@@ -86,7 +88,7 @@
         }
 
         private static LogRecord suppressedRecord(long count) {
-            final EventRecord event = EventRecord.of(LogEvent.RECORDS_SUPPRESSED, count, LIBRARY);
+            final EventRecord event = EventRecord.of(LogEvent.RECORDS_SUPPRESSED, count, LIBRARY_RECORDS);
             final LogRecord logRecord = new LogRecord(Level.WARNING, event.toString());
             logRecord.setLoggerName(EventLog.LOGGER_NAME);
             return logRecord;
--- a/src/main/java/org/wigeongrade/logging/LineFormatter.java
+++ b/src/main/java/org/wigeongrade/logging/LogfmtFormatter.java
@@ -7,24 +7,23 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes each record as {@code time=... level=... event=...} on one line, with an indented stack trace
- * below it if it has one.
- * Records of libraries get event 0. Stateless; safe for use from any thread.
+ * Formats each record as one logfmt line, {@code time=... level=... event=...}, followed by an indented stack trace if
+ * the record has one. Records of libraries get event 0. Stateless; safe for use from any thread.
  */
-public final class LineFormatter extends Formatter {
+public final class LogfmtFormatter extends Formatter {
     private static final String EVENT_PREFIX = "event=";
-    private static final int TRACE_INDENT = 4;
+    private static final int STACK_TRACE_INDENT = 4;
 
     @Override
     public String format(LogRecord logRecord) {
         final String line = "time=" + logRecord.getInstant().truncatedTo(ChronoUnit.MILLIS) + " level="
                 + logRecord.getLevel().getName().toLowerCase(Locale.ROOT) + " " + body(logRecord) + "\n";
-        return logRecord.getThrown() == null ? line : line + indentedTrace(logRecord.getThrown());
+        return logRecord.getThrown() == null ? line : line + indentedStackTrace(logRecord.getThrown());
     }
 
-    /** Returns the stack trace with each line indented, so that no line of it reads as a record. */
-    private static String indentedTrace(Throwable thrown) {
-        return Throwables.getStackTraceAsString(thrown).indent(TRACE_INDENT);
+    /** Returns the stack trace with each line indented, so that none of its lines can be mistaken for a record. */
+    private static String indentedStackTrace(Throwable thrown) {
+        return Throwables.getStackTraceAsString(thrown).indent(STACK_TRACE_INDENT);
     }
 
     private String body(LogRecord logRecord) {
@@ -36,7 +35,7 @@
         if (EventLog.LOGGER_NAME.equals(logRecord.getLoggerName()) && message.startsWith(EVENT_PREFIX)) {
             return message;
         }
-        return EVENT_PREFIX + "0 name=library logger=" + LineText.quoted(String.valueOf(logRecord.getLoggerName()))
-                + " message=" + LineText.alwaysQuoted(message);
+        return EVENT_PREFIX + "0 name=library logger=" + LogfmtValue.quoteIfNeeded(String.valueOf(logRecord.getLoggerName()))
+                + " message=" + LogfmtValue.quote(message);
     }
 }
--- a/src/main/java/org/wigeongrade/logging/LineText.java
+++ b/src/main/java/org/wigeongrade/logging/LogfmtValue.java
@@ -4,8 +4,11 @@
 import com.google.common.escape.Escaper;
 import com.google.common.escape.Escapers;
 
-/** Writes values so that a record stays on one line and can be split again. Stateless; safe for use from any thread. */
-final class LineText {
+/**
+ * Quotes values so that a record stays on one line and can be split into fields. Stateless; safe for use from any
+ * thread.
+ */
+final class LogfmtValue {
     private static final CharMatcher NEEDS_QUOTES =
             CharMatcher.anyOf(" \"=\\").or(CharMatcher.javaIsoControl()).precomputed();
     private static final Escaper ESCAPER = Escapers.builder()
@@ -16,15 +19,18 @@
             .addEscape('\t', "\\t")
             .build();
 
-    private LineText() {}
+    private LogfmtValue() {}
 
-    /** Returns the value as it is, or in quotes if it holds a space, quote, equals sign or control character. */
-    static String quoted(String value) {
-        return value.isEmpty() || NEEDS_QUOTES.matchesAnyOf(value) ? alwaysQuoted(value) : value;
+    /**
+     * Returns the value unchanged, or in quotes if it is empty or contains a space, quote, equals sign, backslash or
+     * control character.
+     */
+    static String quoteIfNeeded(String value) {
+        return value.isEmpty() || NEEDS_QUOTES.matchesAnyOf(value) ? quote(value) : value;
     }
 
-    /** Returns the value in quotes with control characters escaped or replaced by a space. */
-    static String alwaysQuoted(String value) {
+    /** Returns the value in quotes, with control characters escaped or replaced by a space. */
+    static String quote(String value) {
         return '"' + CharMatcher.javaIsoControl().replaceFrom(ESCAPER.escape(value), ' ') + '"';
     }
 }
--- a/src/main/java/org/wigeongrade/logging/package-info.java
+++ b/src/main/java/org/wigeongrade/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Numbered log events and the form in which they are written. */
+/** Numbered log events, their line format and the setup of the log. */
 package org.wigeongrade.logging;
--- a/src/main/java/org/wigeongrade/settings/FleetRole.java
+++ b/src/main/java/org/wigeongrade/settings/FleetRole.java
@@ -2,14 +2,19 @@
 
 import java.util.Locale;
 
-/** What a process of a fleet that finds itself through seeds does. Immutable; safe for use from any thread. */
+/**
+ * Role of a node in a fleet whose nodes find each other through seed addresses. Immutable; safe for use from any
+ * thread.
+ */
 public enum FleetRole {
-    /** Takes callers' requests. */
+    /** Serves callers' requests. */
     ENTRY,
-    /** Keeps the state, hears endpoints and operators. */
+    /** Keeps the replicated state and serves endpoints and operators. */
     CONTROL;
 
-    /** Reads a role in any case; throws {@link IllegalArgumentException} that lists the roles. */
+    /**
+     * Parses a role, ignoring case; throws an {@link IllegalArgumentException} that lists the roles if it is unknown.
+     */
     public static FleetRole of(String text) {
         try {
             return valueOf(text.toUpperCase(Locale.ROOT));
--- a/src/main/java/org/wigeongrade/settings/FleetSettings.java
+++ b/src/main/java/org/wigeongrade/settings/FleetSettings.java
@@ -10,17 +10,17 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Settings of one process of a fleet whose processes find each other through seeds.
+ * Settings of one process of a fleet whose nodes find each other through seed addresses.
  *
  * <p>Invariant: an entry node has {@code callerListen} and {@code readinessListen}, a control node has {@code
  * controlListen} and {@code dataFolder}. The internal ports are the same on every VM of the fleet. Immutable; safe for
  * use from any thread.
  *
- * @param ip the address at which other nodes reach the VM, which also names it among the control VMs
- * @param bindIp the address that the internal ports listen at; differs from {@code ip} behind a forwarder
- * @param firstInternalPort first of two ports: replicated log, calls between nodes
- * @param metricsPort port of the metrics of this process
- * @param seeds control addresses of some control VMs; they may be out of date
+ * @param ip the address at which other nodes reach the VM, which also identifies it among the control VMs
+ * @param bindIp the address that the internal ports are bound to; differs from {@code ip} behind a port forwarder
+ * @param firstInternalPort the first of two ports: the replicated log, then calls between nodes
+ * @param metricsPort the port that serves the metrics of this process
+ * @param seeds addresses of some control VMs, for finding the others; they may be out of date
  * @param bootstrap whether the fleet starts for the first time, with empty disks
  */
 public record FleetSettings(
@@ -48,7 +48,7 @@
         return numbers.getOrDefault(key, key.defaultValue());
     }
 
-    /** Returns the value of a key that is given in milliseconds or seconds, in milliseconds. */
+    /** Returns the value of a key whose unit is milliseconds or seconds, converted to milliseconds. */
     public long ms(FleetKey key) {
         final double factor = key.key().endsWith("_s") ? 1_000 : 1;
         return Math.round(number(key) * factor);
@@ -59,12 +59,12 @@
         return firstInternalPort;
     }
 
-    /** Returns the port of calls between the nodes. */
+    /** Returns the port for calls between nodes. */
     public int fleetPort() {
         return firstInternalPort + 1;
     }
 
-    /** Returns the port that every control VM serves endpoints and operators on. */
+    /** Returns the port on which every control VM serves endpoints and operators. */
     public int controlPort() {
         return controlListen.map(NodeAddress::port).orElseGet(() -> seeds.get(0).port());
     }
--- a/src/main/java/org/wigeongrade/settings/FleetSettingsReader.java
+++ b/src/main/java/org/wigeongrade/settings/FleetSettingsReader.java
@@ -17,19 +17,19 @@
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.ids.NodeName;
 
-/** Reads a fleet node's settings file and lists every fault of it at once. Stateless; safe for use from any thread. */
+/** Reads a fleet node's settings file and reports all its faults at once. Stateless; safe for use from any thread. */
 public final class FleetSettingsReader {
     private static final int MAX_FIRST_PORT = 65_533;
     private static final int MAX_PORT = 65_535;
-    /** Place of the metrics port behind the first internal one, where the settings name none. */
-    private static final int METRICS_OFFSET = 2;
+    /** Offset of the metrics port from the first internal port, if the settings do not name it. */
+    private static final int METRICS_PORT_OFFSET = 2;
 
     private FleetSettingsReader() {}
 
     /**
      * Reads and checks a settings file.
      *
-     * @throws WigeongradeException with {@link ErrorKind#INVALID_CONFIGURATION} and every fault, one a line
+     * @throws WigeongradeException with {@link ErrorKind#INVALID_CONFIGURATION} and every fault, one per line
      */
     public static FleetSettings read(Path file) {
         try {
@@ -50,7 +50,7 @@
         if (!faults.isEmpty()) {
             throw invalid(file, faults);
         }
-        final CheckedTable table = new CheckedTable(file.toString(), "", 1, toml, faults::add);
+        final TomlTableReader table = new TomlTableReader(file.toString(), "", 1, toml, faults::add);
         final Optional<FleetSettings> settings = readNode(table);
         table.reportUnknownKeys();
         if (!faults.isEmpty()) {
@@ -66,17 +66,17 @@
                         + faults.stream().map(Fault::toLine).collect(Collectors.joining("\n")));
     }
 
-    private static Optional<FleetSettings> readNode(CheckedTable table) {
+    private static Optional<FleetSettings> readNode(TomlTableReader table) {
         final Optional<NodeName> name = table.requiredConverted("name", "the name of the node", NodeName::of);
         final Optional<FleetRole> role = table.requiredConverted("role", "entry or control", FleetRole::of);
         final Optional<AvailabilityZone> zone =
                 table.requiredConverted("availability_zone", "the availability zone of this VM", AvailabilityZone::of);
-        final Optional<String> ip = table.requiredConverted("ip", "the IP number of this VM", text -> text);
-        final Optional<String> bindIp = table.converted("bind_ip", text -> text);
-        final Optional<NodeAddress> callerListen = table.converted("caller_listen", NodeAddress::of);
-        final Optional<NodeAddress> readinessListen = table.converted("readiness_listen", NodeAddress::of);
-        final Optional<NodeAddress> controlListen = table.converted("control_listen", NodeAddress::of);
-        final Optional<Path> dataFolder = table.converted("data_folder", Path::of);
+        final Optional<String> ip = table.requiredConverted("ip", "the IP address of this VM", text -> text);
+        final Optional<String> bindIp = table.optionalConverted("bind_ip", text -> text);
+        final Optional<NodeAddress> callerListen = table.optionalConverted("caller_listen", NodeAddress::of);
+        final Optional<NodeAddress> readinessListen = table.optionalConverted("readiness_listen", NodeAddress::of);
+        final Optional<NodeAddress> controlListen = table.optionalConverted("control_listen", NodeAddress::of);
+        final Optional<Path> dataFolder = table.optionalConverted("data_folder", Path::of);
         final Optional<Long> firstPort = table.integer("first_internal_port", 1, MAX_FIRST_PORT);
         final Optional<Long> metricsPort = table.integer("metrics_port", 1, MAX_PORT);
         final List<NodeAddress> seeds = readSeeds(table);
@@ -88,7 +88,7 @@
         if (seeds.isEmpty()) {
             table.report("seeds", "is empty; expected the control address of at least one control VM");
         }
-        role.ifPresent(known -> checkRole(known, table));
+        role.ifPresent(value -> checkKeysOfRole(value, table));
         if (name.isEmpty() || role.isEmpty() || zone.isEmpty() || ip.isEmpty() || firstPort.isEmpty()) {
             return Optional.empty();
         }
@@ -102,24 +102,24 @@
                 readinessListen,
                 controlListen,
                 firstPort.get().intValue(),
-                metricsPort.orElse(firstPort.get() + METRICS_OFFSET).intValue(),
+                metricsPort.orElse(firstPort.get() + METRICS_PORT_OFFSET).intValue(),
                 seeds,
                 bootstrap,
                 dataFolder,
                 numbers));
     }
 
-    private static void checkRole(FleetRole role, CheckedTable table) {
-        final ImmutableList<String> needed = switch (role) {
+    private static void checkKeysOfRole(FleetRole role, TomlTableReader table) {
+        final ImmutableList<String> requiredKeys = switch (role) {
             case ENTRY -> ImmutableList.of("caller_listen", "readiness_listen");
             case CONTROL -> ImmutableList.of("control_listen", "data_folder");
         };
-        needed.stream()
+        requiredKeys.stream()
                 .filter(key -> !table.has(key))
                 .forEach(key -> table.report(key, "is missing; a node of role " + role + " needs it"));
     }
 
-    private static List<NodeAddress> readSeeds(CheckedTable table) {
+    private static List<NodeAddress> readSeeds(TomlTableReader table) {
         final List<NodeAddress> seeds = new ArrayList<>();
         for (final String text : table.strings("seeds")) {
             try {
@@ -131,7 +131,7 @@
         return seeds;
     }
 
-    private static Map<FleetKey, Double> readNumbers(CheckedTable table) {
+    private static Map<FleetKey, Double> readNumbers(TomlTableReader table) {
         final Map<FleetKey, Double> numbers = new EnumMap<>(FleetKey.class);
         for (final FleetKey key : FleetKey.values()) {
             table.number(key.key(), key.min(), key.max()).ifPresent(value -> numbers.put(key, value));
--- a/src/main/java/org/wigeongrade/settings/LimitKey.java
+++ b/src/main/java/org/wigeongrade/settings/LimitKey.java
@@ -2,7 +2,9 @@
 
 import java.util.Locale;
 
-/** Optional numeric keys of the settings file with their default and range. Immutable; safe for use from any thread. */
+/**
+ * Optional numeric keys of the settings file, with their default and range. Immutable; safe for use from any thread.
+ */
 public enum LimitKey {
     MAX_BODY_BYTES(1_048_576, 1_024, 67_108_864, "largest request body taken from a caller"),
     VIEW_LEASE_MS(2_000, 200, 60_000, "longest time that an entry VM sends work on one view"),
@@ -27,27 +29,27 @@
         this.meaning = meaning;
     }
 
-    /** Returns the key as it stands in the settings file. */
+    /** Returns the key as it is written in the settings file. */
     public String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the value if the key is absent, in the unit that its name ends with. */
+    /** Returns the value that applies if the key is absent, in the unit that its name ends with. */
     public long defaultValue() {
         return defaultValue;
     }
 
-    /** Returns the smallest value. */
+    /** Returns the smallest allowed value. */
     public long min() {
         return min;
     }
 
-    /** Returns the largest value. */
+    /** Returns the largest allowed value. */
     public long max() {
         return max;
     }
 
-    /** Returns what the value bounds, as a phrase for the docs. */
+    /** Returns what the key limits, as a phrase for the docs. */
     public String meaning() {
         return meaning;
     }
--- a/src/main/java/org/wigeongrade/settings/NodeAddress.java
+++ b/src/main/java/org/wigeongrade/settings/NodeAddress.java
@@ -5,14 +5,14 @@
 import java.net.InetSocketAddress;
 
 /**
- * An IP number and a TCP port.
+ * An IP address and a TCP port.
  *
- * <p>Invariant: {@code ip} is an IPv4 or IPv6 number, never a host name; {@code port} is from 1 to 65535. Immutable;
+ * <p>Invariant: {@code ip} is an IPv4 or IPv6 address, never a host name; {@code port} is from 1 to 65535. Immutable;
  * safe for use from any thread.
  */
 public record NodeAddress(String ip, int port) implements Comparable<NodeAddress> {
-    /** What messages tell the reader to write. */
-    public static final String EXPECTED = "an IP number and a port, for example \"127.0.0.1:8001\"";
+    /** The expected form of an address, for error messages. */
+    public static final String EXPECTED = "an IP address and a port, for example \"127.0.0.1:8001\"";
 
     public NodeAddress {
         if (!InetAddresses.isInetAddress(ip) || port < 1 || port > 65_535) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Reads {@code ip:port} or {@code [ipv6]:port}; throws {@link IllegalArgumentException} if it is malformed. */
+    /** Parses {@code ip:port} or {@code [ipv6]:port}; throws {@link IllegalArgumentException} if it is malformed. */
     public static NodeAddress of(String text) {
         final HostAndPort parsed = parse(text);
         return new NodeAddress(parsed.getHost(), parsed.getPortOrDefault(0));
@@ -34,12 +34,14 @@
         }
     }
 
-    /** Returns whether the IP number stands for every address of the VM. */
+    /**
+     * Returns whether the IP address is a wildcard, such as {@code 0.0.0.0}, that stands for every address of the VM.
+     */
     public boolean isWildcard() {
         return InetAddresses.forString(ip).isAnyLocalAddress();
     }
 
-    /** Returns the address for opening or accepting connections; no name is looked up. */
+    /** Returns the address as a socket address, without a name lookup. */
     public InetSocketAddress toSocketAddress() {
         return new InetSocketAddress(InetAddresses.forString(ip), port);
     }
--- a/src/main/java/org/wigeongrade/settings/NodeLimits.java
+++ b/src/main/java/org/wigeongrade/settings/NodeLimits.java
@@ -14,16 +14,16 @@
     /** Every limit at its default. */
     public static final NodeLimits DEFAULTS = new NodeLimits(ImmutableMap.of());
 
-    private final ImmutableMap<LimitKey, Long> stated;
+    private final ImmutableMap<LimitKey, Long> configured;
 
-    private NodeLimits(Map<LimitKey, Long> stated) {
-        this.stated = Maps.immutableEnumMap(stated);
+    private NodeLimits(Map<LimitKey, Long> configured) {
+        this.configured = Maps.immutableEnumMap(configured);
     }
 
-    /** Creates limits from the stated values; the others keep their defaults. */
-    public static NodeLimits of(Map<LimitKey, Long> stated) {
-        stated.forEach(NodeLimits::checkRange);
-        return new NodeLimits(stated);
+    /** Creates limits from the configured values; the other limits keep their defaults. */
+    public static NodeLimits of(Map<LimitKey, Long> configured) {
+        configured.forEach(NodeLimits::checkRange);
+        return new NodeLimits(configured);
     }
 
     private static void checkRange(LimitKey key, long value) {
@@ -35,7 +35,7 @@
 
     /** Returns the value of one limit, in the unit that its name ends with. */
     public long value(LimitKey key) {
-        return stated.getOrDefault(key, key.defaultValue());
+        return configured.getOrDefault(key, key.defaultValue());
     }
 
     /** Returns the largest request body taken from a caller, in bytes. */
@@ -63,12 +63,12 @@
         return value(LimitKey.STOP_DEADLINE_MS);
     }
 
-    /** Returns the longest time from a request's arrival to the end of its answer. */
+    /** Returns the longest time from a request's arrival to the end of its response. */
     public long requestTimeoutMs() {
         return value(LimitKey.REQUEST_TIMEOUT_MS);
     }
 
-    /** Returns the longest silence of an endpoint in an answer. */
+    /** Returns the longest time that an endpoint may send nothing during a response. */
     public long stallTimeoutMs() {
         return value(LimitKey.STALL_TIMEOUT_MS);
     }
--- a/src/main/java/org/wigeongrade/settings/NodeSettings.java
+++ b/src/main/java/org/wigeongrade/settings/NodeSettings.java
@@ -8,14 +8,14 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Settings of one node, checked as a whole.
+ * Settings of one node, validated as a whole.
  *
- * <p>{@code listen} serves callers, endpoints and operators by HTTP, {@code peerListen} the other nodes by Thrift,
- * {@code logListen} the replicated log.
+ * <p>{@code listen} serves callers, endpoints and operators over HTTP, {@code peerListen} serves the other nodes over
+ * Thrift, and {@code logListen} serves the replicated log.
  *
  * <p>Invariant: {@code logListen} and {@code dataFolder} are both present (a control VM) or both absent; {@code peers}
- * holds every node of the fleet with this one among them, and 1, 3 or 5 of them are control VMs. Immutable; safe for
- * use from any thread.
+ * holds every node of the fleet, including this one, and 1, 3 or 5 of them are control VMs. Immutable; safe for use
+ * from any thread.
  */
 public record NodeSettings(
         NodeName name,
@@ -40,12 +40,12 @@
         return peers.stream().filter(PeerSettings::isControl).collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns every node but this one. */
+    /** Returns every node except this one. */
     public ImmutableList<PeerSettings> otherPeers() {
         return peers.stream().filter(peer -> !peer.name().equals(name)).collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the named node; empty if it is not of the fleet. */
+    /** Returns the named node; empty if the fleet has no such node. */
     public Optional<PeerSettings> peer(NodeName peerName) {
         return peers.stream().filter(peer -> peer.name().equals(peerName)).findFirst();
     }
--- a/src/main/java/org/wigeongrade/settings/PeerSettings.java
+++ b/src/main/java/org/wigeongrade/settings/PeerSettings.java
@@ -4,8 +4,8 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * One node of the fleet as every other one knows it. {@code logAddress} is present on control VMs only. Immutable; safe
- * for use from any thread.
+ * Name and addresses by which the other nodes of the fleet reach one node. {@code logAddress} is present on control VMs
+ * only. Immutable; safe for use from any thread.
  */
 public record PeerSettings(NodeName name, NodeAddress peerAddress, Optional<NodeAddress> logAddress) {
     /** Returns whether this node runs the control role. */
--- a/src/main/java/org/wigeongrade/settings/SettingsOutcome.java
+++ b/src/main/java/org/wigeongrade/settings/SettingsResult.java
@@ -5,15 +5,15 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
 
-/** Outcome of reading a settings file. Immutable; safe for use from any thread. */
-public sealed interface SettingsOutcome {
-    /** The settings are whole and may be used. */
-    record Valid(NodeSettings settings) implements SettingsOutcome {}
+/** Result of reading a settings file. Immutable; safe for use from any thread. */
+public sealed interface SettingsResult {
+    /** The settings are complete and valid. */
+    record Valid(NodeSettings settings) implements SettingsResult {}
 
-    /** The file has faults; nothing may start. */
-    record Invalid(ImmutableList<Fault> faults) implements SettingsOutcome {}
+    /** The file has faults; the node must not start. */
+    record Invalid(ImmutableList<Fault> faults) implements SettingsResult {}
 
-    /** Returns the settings or throws with {@link ErrorKind#INVALID_CONFIGURATION} and every fault, one a line. */
+    /** Returns the settings or throws with {@link ErrorKind#INVALID_CONFIGURATION} and every fault, one per line. */
     default NodeSettings orElseThrow() {
         if (this instanceof Valid valid) {
             return valid.settings();
--- a/src/main/java/org/wigeongrade/settings/TomlKind.java
+++ b/src/main/java/org/wigeongrade/settings/TomlType.java
@@ -3,8 +3,8 @@
 import org.tomlj.TomlArray;
 import org.tomlj.TomlTable;
 
-/** Kinds of TOML values as messages name them. Immutable; safe for use from any thread. */
-enum TomlKind {
+/** Types of TOML values, as error messages name them. Immutable; safe for use from any thread. */
+enum TomlType {
     STRING("a string"),
     INTEGER("an integer"),
     FLOAT("a float"),
@@ -13,17 +13,17 @@
     TABLE("a table"),
     DATE_OR_TIME("a date or time");
 
-    private final String phrase;
+    private final String description;
 
-    TomlKind(String phrase) {
-        this.phrase = phrase;
+    TomlType(String description) {
+        this.description = description;
     }
 
-    String phrase() {
-        return phrase;
+    String description() {
+        return description;
     }
 
-    static TomlKind of(Object value) {
+    static TomlType of(Object value) {
         if (value instanceof String) {
             return STRING;
         }
--- a/src/main/java/org/wigeongrade/settings/package-info.java
+++ b/src/main/java/org/wigeongrade/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of one process: the keys, the file format and the checks that run before anything starts. */
+/** Settings of one process: the keys, the file format and the checks that run before the node starts. */
 package org.wigeongrade.settings;
--- a/src/test/java/org/wigeongrade/ArchitectureTest.java
+++ b/src/test/java/org/wigeongrade/ArchitectureTest.java
@@ -18,13 +18,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Holds the dependency direction of the packages: peers use decisions, decisions use ids, never back. */
+/**
+ * Checks the dependency direction of the packages: packages that talk to other systems use decisions, decisions use
+ * ids, and never the other way round.
+ */
 final class ArchitectureTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("org.wigeongrade");
 
-    private static final ArchRule DECISIONS_KNOW_NO_PEER = noClasses()
+    private static final ArchRule DECISIONS_DO_NOT_DEPEND_ON_ADAPTERS = noClasses()
             .that()
             .resideInAPackage("org.wigeongrade.decisions..")
             .should()
@@ -46,7 +49,7 @@
                     "org.apache.thrift..")
             .allowEmptyShould(true);
 
-    private static final ArchRule DECISIONS_KNOW_NO_CLOCK = noClasses()
+    private static final ArchRule DECISIONS_DO_NOT_READ_THE_CLOCK = noClasses()
             .that()
             .resideInAPackage("org.wigeongrade.decisions..")
             .should()
@@ -55,7 +58,7 @@
             .callMethod(System.class, "nanoTime")
             .allowEmptyShould(true);
 
-    private static final ArchRule IDS_KNOW_NOTHING_ELSE = noClasses()
+    private static final ArchRule IDS_DO_NOT_DEPEND_ON_OTHER_PACKAGES = noClasses()
             .that()
             .resideInAPackage("org.wigeongrade.ids..")
             .should()
@@ -63,33 +66,33 @@
             .resideInAPackage("org.wigeongrade.(decisions|callers|endpoints|operators|nodes|command|settings)..")
             .allowEmptyShould(true);
 
-    private static final ArchRule ONLY_THE_COMMAND_LINE_KNOWS_THE_PLATFORM = noClasses()
+    private static final ArchRule ONLY_COMMAND_DEPENDS_ON_PLATFORM = noClasses()
             .that()
             .resideOutsideOfPackages("org.wigeongrade.platform..", "org.wigeongrade.command..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("org.wigeongrade.platform..");
 
-    /** Names of the platform's wire, as they would stand in a string of the code. */
-    private static final Pattern WIRE_NAME =
+    /** Names of the platform's wire protocol, as they would appear in a string literal. */
+    private static final Pattern PLATFORM_WIRE_NAME =
             Pattern.compile("\"[^\"]*(?i:x-attempt-id|x-credential|x-tenant|x-server-seal"
                     + "|x-not-executed|x-expect-instance|x-deadline-ms|x-token-count|x-model|at-server|/-/|heartbeatAddress"
                     + "|trafficSplit|targetItlMs|apiKeys|coldRemainingMs)[^\"]*\"");
 
     static Stream<ArchRule> rules() {
         return Stream.of(
-                DECISIONS_KNOW_NO_PEER,
-                DECISIONS_KNOW_NO_CLOCK,
-                IDS_KNOW_NOTHING_ELSE,
-                ONLY_THE_COMMAND_LINE_KNOWS_THE_PLATFORM);
+                DECISIONS_DO_NOT_DEPEND_ON_ADAPTERS,
+                DECISIONS_DO_NOT_READ_THE_CLOCK,
+                IDS_DO_NOT_DEPEND_ON_OTHER_PACKAGES,
+                ONLY_COMMAND_DEPENDS_ON_PLATFORM);
     }
 
     @Test
-    void noNameOfThePlatformsWireStandsOutsideItsPackage() throws IOException {
+    void platformWireNamesStayInPlatformPackage() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
             final List<Path> found = files.filter(file -> file.toString().endsWith(".java"))
                     .filter(file -> !file.toString().contains("/platform/"))
-                    .filter(file -> WIRE_NAME.matcher(read(file)).find())
+                    .filter(file -> PLATFORM_WIRE_NAME.matcher(read(file)).find())
                     .toList();
             assertThat(found).isEmpty();
         }
@@ -105,7 +108,7 @@
 
     @ParameterizedTest
     @MethodSource("rules")
-    void holds(ArchRule rule) {
+    void dependencyRuleHolds(ArchRule rule) {
         rule.check(CLASSES);
     }
 }
--- a/src/test/java/org/wigeongrade/command/ChangeCommandsTest.java
+++ b/src/test/java/org/wigeongrade/command/ChangeCommandsTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whole commands against a fake entry VM. */
+/** Runs complete commands against a fake entry VM. */
 final class ChangeCommandsTest {
-    private static final String ACCEPTED = "200 {\"revision\":5}";
-    private static final String FAULTS = "422 {\"error\":{\"code\":\"invalid_configuration\",\"message\":\"2 faults\","
+    private static final String ACCEPTED_RESPONSE = "200 {\"revision\":5}";
+    private static final String FAULTS_RESPONSE = "422 {\"error\":{\"code\":\"invalid_configuration\",\"message\":\"2 faults\","
             + "\"faults\":[{\"file\":\"body\",\"line\":3,\"object\":\"pool chat\",\"message\":\"no such model version\"},"
             + "{\"file\":\"body\",\"line\":1,\"object\":\"zone a\",\"message\":\"declared twice\"}]}}";
 
@@ -30,11 +30,11 @@
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
     @Test
-    void faultsAreListedWithTheFileOfTheOperator() throws IOException {
+    void faultsNameFileOfOperator() throws IOException {
         final Path zones = Files.writeString(folder.resolve("zones.toml"), "one\ntwo\n");
         final Path pools = Files.writeString(folder.resolve("pools.toml"), "three\n");
 
-        final ExitCode exitCode = run(FAULTS, "apply", "--base-revision", "4", zones.toString(), pools.toString());
+        final ExitCode exitCode = run(FAULTS_RESPONSE, "apply", "--base-revision", "4", zones.toString(), pools.toString());
 
         assertThat(exitCode).isEqualTo(ExitCode.REFUSED);
         assertThat(errors()).contains("  " + pools + ":1: pool chat: no such model version\n");
@@ -43,14 +43,14 @@
     }
 
     @Test
-    void entriesComeFromTheEnvironment() throws IOException {
-        try (FakeEntry entry = new FakeEntry(ACCEPTED)) {
+    void readsEntryVmsFromEnvironment() throws IOException {
+        try (FakeEntryVm entry = new FakeEntryVm(ACCEPTED_RESPONSE)) {
             final Map<String, String> environment =
-                    Map.of("WIGEONGRADE_ENTRIES", FakeEntry.unreachable() + ", " + entry.address(), "USER", "ann b");
+                    Map.of("WIGEONGRADE_ENTRIES", FakeEntryVm.unreachableAddress() + ", " + entry.address(), "USER", "ann b");
 
             assertThat(run(environment, List.of("zone", "out", "zone-a", "--change-id", "c-7")))
                     .isEqualTo(ExitCode.OK);
-            assertThat(entry.received())
+            assertThat(entry.receivedRequests())
                     .containsExactly("POST /v1/operator/zones/zone-a/out?change_id=c-7&operator=ann+b ");
         }
         assertThat(out.toString(StandardCharsets.UTF_8)).isEqualTo("revision  5\n");
@@ -58,13 +58,13 @@
     }
 
     @Test
-    void idWithSlashIsOnePathSegment() throws IOException {
-        try (FakeEntry entry = new FakeEntry("200 {\"decisions\":[]}")) {
+    void escapesSlashInId() throws IOException {
+        try (FakeEntryVm entry = new FakeEntryVm("200 {\"decisions\":[]}")) {
             run(
                     Map.of(),
                     List.of("why", "group", "chat/1", "--entry", entry.address().toString()));
 
-            assertThat(entry.received()).containsExactly("GET /v1/operator/why/group/chat%2F1 ");
+            assertThat(entry.receivedRequests()).containsExactly("GET /v1/operator/why/group/chat%2F1 ");
         }
     }
 
@@ -77,13 +77,13 @@
                 "5 | 100 | 4 | 100 | PENDING | not in force on [entry-2]",
                 "4 | 100 | 4 | 100 | PENDING | not in force on [entry-1, entry-2]"
             })
-    void waitEndsOnceNoNodeMayWorkOnAnOlderRevision(
+    void waitsForNodesThatMaySendOnOlderRevision(
             int firstRevision, int firstLeaseMs, int secondRevision, int secondLeaseMs, ExitCode expected, String text)
             throws IOException {
         final String status = "200 {\"nodes\":[" + node(1, firstRevision, firstLeaseMs) + ","
                 + node(2, secondRevision, secondLeaseMs) + "]}";
-        try (FakeEntry entry = new FakeEntry(ACCEPTED, status)) {
-            final List<String> words = ImmutableList.of(
+        try (FakeEntryVm entry = new FakeEntryVm(ACCEPTED_RESPONSE, status)) {
+            final List<String> arguments = ImmutableList.of(
                     "zone",
                     "in",
                     "zone-a",
@@ -93,15 +93,15 @@
                     "--entry",
                     entry.address().toString());
 
-            assertThat(run(Map.of(), words)).isEqualTo(expected);
+            assertThat(run(Map.of(), arguments)).isEqualTo(expected);
         }
         assertThat(errors()).contains(text);
     }
 
     @Test
-    void stopWaitsUntilTheNodeIsGone() throws IOException {
-        try (FakeEntry entry = new FakeEntry("200 {\"stopping\":true}", "503 stopping")) {
-            final List<String> words = List.of(
+    void stopWaitsUntilNodeIsUnreachable() throws IOException {
+        try (FakeEntryVm entry = new FakeEntryVm("200 {\"stopping\":true}", "503 stopping")) {
+            final List<String> arguments = List.of(
                     "stop",
                     "--wait",
                     "--timeout-ms",
@@ -109,9 +109,9 @@
                     "--entry",
                     entry.address().toString());
 
-            assertThat(run(Map.of(), words)).isEqualTo(ExitCode.PENDING);
+            assertThat(run(Map.of(), arguments)).isEqualTo(ExitCode.PENDING);
         }
-        assertThat(errors()).contains("is still ending requests");
+        assertThat(errors()).contains("is still completing requests");
     }
 
     private static String node(int number, int revision, int leaseLeftMs) {
@@ -119,19 +119,19 @@
                 .formatted(number, revision, leaseLeftMs);
     }
 
-    private ExitCode run(String answer, String... words) throws IOException {
-        try (FakeEntry entry = new FakeEntry(answer)) {
-            final List<String> all = ImmutableList.<String>builder()
-                    .add(words)
+    private ExitCode run(String response, String... arguments) throws IOException {
+        try (FakeEntryVm entry = new FakeEntryVm(response)) {
+            final List<String> allArguments = ImmutableList.<String>builder()
+                    .add(arguments)
                     .add("--entry", entry.address().toString())
                     .build();
-            return run(Map.of(), all);
+            return run(Map.of(), allArguments);
         }
     }
 
-    private ExitCode run(Map<String, String> environment, List<String> words) {
+    private ExitCode run(Map<String, String> environment, List<String> arguments) {
         return CommandLine.run(
-                words,
+                arguments,
                 CommandIo.of(
                         new PrintStream(out, true, StandardCharsets.UTF_8),
                         new PrintStream(err, true, StandardCharsets.UTF_8),
--- a/src/test/java/org/wigeongrade/command/CommandLineTest.java
+++ b/src/test/java/org/wigeongrade/command/CommandLineTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.wigeongrade.settings.Fault;
 
-/** Command lines as a new user types them, and the pages that describe them. */
+/** Checks invalid command lines, the help, and that the docs list the same subcommands and exit codes. */
 final class CommandLineTest {
-    private static final Path PAGE = Path.of("docs/operators/command-line.md");
+    private static final Path COMMAND_LINE_PAGE = Path.of("docs/operators/command-line.md");
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -41,13 +41,13 @@
                 "apply --base-revision 0 /nowhere/set.toml | BAD_FILE | file /nowhere/set.toml cannot be read",
                 "status --entry localhost:1 | USAGE | 'localhost:1' is not an address",
                 "status --colour | USAGE | \"--colour\" is not a valid option",
-                "stop --entry 127.0.0.1:1 --entry 127.0.0.1:2 | USAGE | takes the one node to stop",
+                "stop --entry 127.0.0.1:1 --entry 127.0.0.1:2 | USAGE | takes exactly one node, but 2 were given",
                 "node --settings /nowhere/n.toml | BAD_FILE | cannot be read",
                 "node --settings examples/lstra/entry-1.toml --log-level loud | USAGE | expected debug, info,",
                 "why requst r-1 | USAGE | not a valid value",
-                "status --timeout-ms 1 --entry 127.0.0.1:1 | UNREACHABLE | name running entry VMs with --entry"
+                "status --timeout-ms 1 --entry 127.0.0.1:1 | UNREACHABLE | pass running entry VMs with --entry"
             })
-    void badCommandLineTellsTheFix(String line, ExitCode expected, String message) {
+    void reportsUsageErrorWithFix(String line, ExitCode expected, String message) {
         assertThat(run(line)).isEqualTo(expected);
         assertThat(err.toString(StandardCharsets.UTF_8)).contains(message);
         assertThat(err.toString(StandardCharsets.UTF_8)).contains("fix: ");
@@ -59,20 +59,20 @@
     void eachSubcommandHasHelpAndDocs(String name) throws IOException {
         assertThat(run(name + " --help")).isEqualTo(ExitCode.OK);
         assertThat(out.toString(StandardCharsets.UTF_8)).contains("exit codes:");
-        assertThat(Files.readString(PAGE)).contains("\n## `" + name);
+        assertThat(Files.readString(COMMAND_LINE_PAGE)).contains("\n## `" + name);
         assertThat(Files.readString(Path.of("README.md"))).contains("`" + name);
     }
 
     @Test
-    void readmeNamesTheCommandsOfTheBuild() throws IOException {
+    void readmeListsBuildCommands() throws IOException {
         assertThat(Files.readString(Path.of("README.md"))).contains("\n    ./demo\n");
         assertThat(Files.readString(Path.of("README.md"))).contains("\n    mvn verify\n");
         assertThat(Files.readString(Path.of(".ci/run"))).contains("\nmvn -B verify ");
     }
 
     @Test
-    void pageListsTheSameExitCodes() throws IOException {
-        final List<String> rows = Files.readAllLines(PAGE).stream()
+    void docsListTheSameExitCodes() throws IOException {
+        final List<String> rows = Files.readAllLines(COMMAND_LINE_PAGE).stream()
                 .filter(line -> line.matches("\\| \\d+ \\|.*"))
                 .toList();
 
@@ -84,15 +84,15 @@
     }
 
     @Test
-    void faultsAreTracedToTheirFile(@TempDir Path folder) throws IOException {
+    void locatesFaultInSourceFile(@TempDir Path folder) throws IOException {
         final Path first = Files.writeString(folder.resolve("a.toml"), "one\ntwo");
         final Path second = Files.writeString(folder.resolve("b.toml"), "three\nfour\n");
-        final DeclaredFiles files = DeclaredFiles.read(List.of(first, second));
+        final DeclaredFiles declaredFiles = DeclaredFiles.read(List.of(first, second));
 
-        assertThat(files.joinedText()).isEqualTo("one\ntwo\nthree\nfour\n");
-        assertThat(files.placed(new Fault("", 2, "pool x", "bad")).toLine()).isEqualTo(first + ":2: pool x: bad");
-        assertThat(files.placed(new Fault("", 3, "pool x", "bad")).toLine()).isEqualTo(second + ":1: pool x: bad");
-        assertThat(files.placed(new Fault("", 0, "pool x", "bad")).toLine()).isEqualTo("declared set: pool x: bad");
+        assertThat(declaredFiles.joinedText()).isEqualTo("one\ntwo\nthree\nfour\n");
+        assertThat(declaredFiles.withFileAndLine(new Fault("", 2, "pool x", "bad")).toLine()).isEqualTo(first + ":2: pool x: bad");
+        assertThat(declaredFiles.withFileAndLine(new Fault("", 3, "pool x", "bad")).toLine()).isEqualTo(second + ":1: pool x: bad");
+        assertThat(declaredFiles.withFileAndLine(new Fault("", 0, "pool x", "bad")).toLine()).isEqualTo("declared set: pool x: bad");
     }
 
     @Test
@@ -118,7 +118,7 @@
     }
 
     private static Stream<String> subcommandNames() {
-        return Subcommands.ALL.stream().map(SubcommandEntry::name);
+        return Subcommands.ALL.stream().map(SubcommandDefinition::name);
     }
 
     private ExitCode run(String line) {
--- a/src/test/java/org/wigeongrade/command/EntryClientTest.java
+++ b/src/test/java/org/wigeongrade/command/EntryClientTest.java
@@ -17,30 +17,30 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wigeongrade.settings.NodeAddress;
 
-/** Operators' calls against entry VMs that refuse, close the connection or cannot be reached. */
+/** Checks operator calls to entry VMs that refuse them, close the connection or cannot be reached. */
 final class EntryClientTest {
     private static final long TIMEOUT_MS = 2_000;
     private static final long SHORT_TIMEOUT_MS = 150;
-    private static final String LOST = FakeEntry.LOST;
-    private static final String OK = "200 {\"revision\":5}";
-    private static final String CUT_OFF =
+    private static final String CONNECTION_CLOSED = FakeEntryVm.CONNECTION_CLOSED;
+    private static final String ACCEPTED = "200 {\"revision\":5}";
+    private static final String NO_VIEW_LEASE =
             "503 {\"error\":{\"code\":\"no_view_lease\",\"message\":\"cut off\",\"retry_after_ms\":1}}";
-    private static final String UNSURE =
+    private static final String OUTCOME_UNKNOWN =
             "502 {\"error\":{\"code\":\"outcome_unknown\",\"message\":\"leader lost\",\"retry_after_ms\":0}}";
-    private static final String CONFLICT =
+    private static final String REVISION_CONFLICT =
             "409 {\"error\":{\"code\":\"revision_conflict\",\"message\":\"revision is 6, by ann\"}}";
 
-    private final List<FakeEntry> started = new ArrayList<>();
+    private final List<FakeEntryVm> entryVms = new ArrayList<>();
     private final PrintStream progress = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
 
     @AfterEach
     void stopEntries() {
-        started.forEach(FakeEntry::close);
+        entryVms.forEach(FakeEntryVm::close);
     }
 
     @Test
-    void nextEntryIsTriedIfOneCannotBeReached() throws IOException {
-        final EntryClient client = client(TIMEOUT_MS, FakeEntry.unreachable(), entry(OK));
+    void triesNextEntryVmIfOneIsUnreachable() throws IOException {
+        final EntryClient client = client(TIMEOUT_MS, FakeEntryVm.unreachableAddress(), entry(ACCEPTED));
 
         assertThat(client.send(change()).get("revision").asInt()).isEqualTo(5);
     }
@@ -48,34 +48,34 @@
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
-            value = {LOST, CUT_OFF, UNSURE, "200 not json"})
-    void sameChangeGoesToTheNextEntry(String firstAnswer) throws IOException {
-        final EntryClient client = client(TIMEOUT_MS, entry(firstAnswer), entry(OK));
+            value = {CONNECTION_CLOSED, NO_VIEW_LEASE, OUTCOME_UNKNOWN, "200 not json"})
+    void sendsSameChangeToNextEntryVm(String firstResponse) throws IOException {
+        final EntryClient client = client(TIMEOUT_MS, entry(firstResponse), entry(ACCEPTED));
 
         assertThat(client.send(change()).get("revision").asInt()).isEqualTo(5);
-        final String sent = "POST /v1/operator/apply?change_id=c-1&base_revision=4 set";
-        assertThat(started.get(0).received()).containsExactly(sent);
-        assertThat(started.get(1).received()).containsExactly(sent);
+        final String expectedRequest = "POST /v1/operator/apply?change_id=c-1&base_revision=4 set";
+        assertThat(entryVms.get(0).receivedRequests()).containsExactly(expectedRequest);
+        assertThat(entryVms.get(1).receivedRequests()).containsExactly(expectedRequest);
     }
 
     @Test
-    void refusalEndsTheCall() throws IOException {
-        final EntryClient client = client(TIMEOUT_MS, entry(CONFLICT), entry(OK));
+    void refusalIsNotRetried() throws IOException {
+        final EntryClient client = client(TIMEOUT_MS, entry(REVISION_CONFLICT), entry(ACCEPTED));
 
         final CommandException error = assertThrows(CommandException.class, () -> client.send(change()));
 
         assertThat(error.exitCode()).isEqualTo(ExitCode.REFUSED);
         assertThat(error.code()).isEqualTo("revision_conflict");
         assertThat(error).hasMessageThat().contains("by ann");
-        assertThat(started.get(1).received()).isEmpty();
+        assertThat(entryVms.get(1).receivedRequests()).isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
-            value = {CUT_OFF + "|UNREACHABLE", LOST + "|OUTCOME_UNKNOWN", UNSURE + "|OUTCOME_UNKNOWN"})
-    void deadlineEndsTheCall(String answer, ExitCode expected) throws IOException {
-        final EntryClient client = client(SHORT_TIMEOUT_MS, entry(answer), FakeEntry.unreachable());
+            value = {NO_VIEW_LEASE + "|UNREACHABLE", CONNECTION_CLOSED + "|OUTCOME_UNKNOWN", OUTCOME_UNKNOWN + "|OUTCOME_UNKNOWN"})
+    void reportsOutcomeAtDeadline(String response, ExitCode expected) throws IOException {
+        final EntryClient client = client(SHORT_TIMEOUT_MS, entry(response), FakeEntryVm.unreachableAddress());
 
         final CommandException error = assertThrows(CommandException.class, () -> client.send(change()));
 
@@ -83,8 +83,8 @@
     }
 
     @Test
-    void lostAnswerThenNotRunIsStillUnknown() throws IOException {
-        final EntryClient client = client(SHORT_TIMEOUT_MS, entry(LOST, CUT_OFF), entry(CUT_OFF));
+    void outcomeStaysUnknownIfLaterAttemptIsNotRun() throws IOException {
+        final EntryClient client = client(SHORT_TIMEOUT_MS, entry(CONNECTION_CLOSED, NO_VIEW_LEASE), entry(NO_VIEW_LEASE));
 
         final CommandException error = assertThrows(CommandException.class, () -> client.send(change()));
 
@@ -103,9 +103,9 @@
         return new EntryClient(List.of(entries), timeoutMs, progress);
     }
 
-    private NodeAddress entry(String... answers) throws IOException {
-        final FakeEntry entry = new FakeEntry(answers);
-        started.add(entry);
+    private NodeAddress entry(String... responses) throws IOException {
+        final FakeEntryVm entry = new FakeEntryVm(responses);
+        entryVms.add(entry);
         return entry.address();
     }
 }
--- a/src/test/java/org/wigeongrade/logging/LogEventTest.java
+++ b/src/test/java/org/wigeongrade/logging/LogEventTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Holds events and docs/EVENTS.md together, and checks the line form. */
+/** Checks that docs/EVENTS.md lists the same events as the code, and checks the format of log lines. */
 final class LogEventTest {
-    private static final Path PAGE = Path.of("docs/EVENTS.md");
+    private static final Path EVENTS_PAGE = Path.of("docs/EVENTS.md");
 
     @Test
-    void pageListsTheSameEvents() throws IOException {
-        final List<String> rows = Files.readAllLines(PAGE).stream()
+    void docsListTheSameEvents() throws IOException {
+        final List<String> rows = Files.readAllLines(EVENTS_PAGE).stream()
                 .filter(line -> line.matches("\\| \\d{4} \\|.*"))
                 .toList();
 
@@ -53,7 +53,7 @@
                 "a\u0001b, peer=\"a b\"",
                 "a=b, peer=\"a=b\""
             })
-    void valueStaysOneField(String value, String expected) {
+    void quotesValueAsOneField(String value, String expected) {
         assertThat(EventRecord.of(LogEvent.PEER_RECONNECTED, value, 5).toString())
                 .isEqualTo(
                         "event=1702 name=peer_reconnected " + expected + " elapsed_ms=5 message=\"connection to node "
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void lineBreakInValueStartsNoLine() {
+    void escapesLineBreakInValue() {
         final String line = EventRecord.of(LogEvent.NODE_START_FAILED, "n", "a\nevent=1003 name=node_stopped")
                 .toString();
 
@@ -69,40 +69,40 @@
     }
 
     @Test
-    void missingValueReadsAsDash() {
+    void writesMissingValueAsDash() {
         assertThat(EventRecord.of(LogEvent.VIEW_CHANGED).toString())
                 .isEqualTo("event=1104 name=view_changed revision=- message=\"view of revision - is in force on this"
                         + " node\"");
     }
 
     @Test
-    void floodOfOneEventIsCutAndCounted() {
-        final EventBudget budget = new EventBudget();
+    void limitsRateOfEventAndCountsSuppressedRecords() {
+        final EventRateLimiter rateLimiter = new EventRateLimiter();
         final long written = IntStream.range(0, 120)
-                .filter(i -> budget.tryPass(i).isPresent())
+                .filter(nowNanos -> rateLimiter.tryAcquire(nowNanos).isPresent())
                 .count();
 
-        assertThat(written).isEqualTo(EventBudget.RECORDS_PER_WINDOW);
-        assertThat(budget.tryPass(EventBudget.WINDOW_NANOS - 1)).isEmpty();
-        assertThat(budget.tryPass(EventBudget.WINDOW_NANOS)).hasValue(71);
-        assertThat(budget.tryPass(EventBudget.WINDOW_NANOS + 1)).hasValue(0);
+        assertThat(written).isEqualTo(EventRateLimiter.RECORDS_PER_WINDOW);
+        assertThat(rateLimiter.tryAcquire(EventRateLimiter.WINDOW_NANOS - 1)).isEmpty();
+        assertThat(rateLimiter.tryAcquire(EventRateLimiter.WINDOW_NANOS)).hasValue(71);
+        assertThat(rateLimiter.tryAcquire(EventRateLimiter.WINDOW_NANOS + 1)).hasValue(0);
     }
 
     @Test
-    void lineOfStackTraceReadsAsNoRecord() {
+    void indentsStackTraceLines() {
         final LogRecord logRecord = new LogRecord(Level.SEVERE, "event=1608 name=request_fault");
         logRecord.setLoggerName(EventLog.LOGGER_NAME);
         logRecord.setThrown(new IllegalStateException("a\ntime=2026 event=1003 name=node_stopped"));
 
-        assertThat(new LineFormatter().format(logRecord)).contains("\n    time=2026 event=1003");
+        assertThat(new LogfmtFormatter().format(logRecord)).contains("\n    time=2026 event=1003");
     }
 
     @Test
-    void formatterMarksRecordsOfLibraries() {
+    void formatsLibraryRecordAsEventZero() {
         final LogRecord logRecord = new LogRecord(Level.WARNING, "bind failed\nagain");
         logRecord.setLoggerName("io.netty");
 
-        assertThat(new LineFormatter().format(logRecord))
+        assertThat(new LogfmtFormatter().format(logRecord))
                 .endsWith(" level=warning event=0 name=library logger=io.netty message=\"bind failed\\nagain\"\n");
     }
 }
--- a/src/test/java/org/wigeongrade/settings/FleetSettingsReaderTest.java
+++ b/src/test/java/org/wigeongrade/settings/FleetSettingsReaderTest.java
@@ -11,7 +11,7 @@
 
 final class FleetSettingsReaderTest {
     private static final Path FILE = Path.of("node.toml");
-    private static final String CONTROL = """
+    private static final String CONTROL_SETTINGS = """
             name = "core-1"
             role = "control"
             availability_zone = "zone-a"
@@ -27,8 +27,8 @@
             """;
 
     @Test
-    void readsAControlNode() {
-        final FleetSettings settings = FleetSettingsReader.parse(FILE, CONTROL);
+    void readsControlNodeSettings() {
+        final FleetSettings settings = FleetSettingsReader.parse(FILE, CONTROL_SETTINGS);
 
         assertThat(settings.role()).isEqualTo(FleetRole.CONTROL);
         assertThat(settings.number(FleetKey.RETRY_RATIO)).isEqualTo(0.25);
@@ -53,12 +53,12 @@
                 "grace_s = 8 | grace = 8 | grace",
                 "retry_ratio = 0.25 | retry_ratio = \"much\" | retry_ratio",
             })
-    void namesEachFault(String part, String replacement, String key) {
-        final String broken = CONTROL.replace(part, replacement);
+    void errorNamesKeyAtFault(String part, String replacement, String key) {
+        final String invalidSettings = CONTROL_SETTINGS.replace(part, replacement);
 
-        assertThat(broken).isNotEqualTo(CONTROL);
-        final WigeongradeException refusal =
-                assertThrows(WigeongradeException.class, () -> FleetSettingsReader.parse(FILE, broken));
-        assertThat(refusal).hasMessageThat().contains(key);
+        assertThat(invalidSettings).isNotEqualTo(CONTROL_SETTINGS);
+        final WigeongradeException error =
+                assertThrows(WigeongradeException.class, () -> FleetSettingsReader.parse(FILE, invalidSettings));
+        assertThat(error).hasMessageThat().contains(key);
     }
 }
--- a/src/test/java/org/wigeongrade/settings/SettingsReaderTest.java
+++ b/src/test/java/org/wigeongrade/settings/SettingsReaderTest.java
@@ -20,10 +20,10 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
 
-/** Bad and good settings files. */
+/** Checks that valid settings files are read and that each fault is reported at its line. */
 final class SettingsReaderTest {
     private static final Path FILE = Path.of("/etc/wigeongrade/entry-1.toml");
-    private static final String GOOD = """
+    private static final String VALID_SETTINGS = """
             name = "entry-1"
             availability_zone = "zone-a"
             listen = "127.0.0.1:8001"
@@ -41,8 +41,8 @@
             """;
 
     @Test
-    void goodFileIsRead() {
-        final NodeSettings settings = SettingsReader.parse(FILE, GOOD).orElseThrow();
+    void readsValidFile() {
+        final NodeSettings settings = SettingsReader.parse(FILE, VALID_SETTINGS).orElseThrow();
 
         assertThat(settings.isControl()).isTrue();
         assertThat(settings.dataFolder()).hasValue(Path.of("/etc/wigeongrade/data"));
@@ -62,12 +62,12 @@
                 "name = \"entry-1\" | name = \"a b\" | 1 | name: node name 'a b' is malformed",
                 "name = \"entry-1\" | name = 7 | 1 | name: is an integer; expected a string",
                 "127.0.0.1:8001 | localhost:8001 | 3 | listen: 'localhost:8001' is not an address",
-                "127.0.0.1:8001 | 127.0.0.1 | 3 | is not an address; expected an IP number and a port",
-                "127.0.0.1:8001 | 127.0.0.1:70000 | 3 | is not an address; expected an IP number and a port",
+                "127.0.0.1:8001 | 127.0.0.1 | 3 | is not an address; expected an IP address and a port",
+                "127.0.0.1:8001 | 127.0.0.1:70000 | 3 | is not an address; expected an IP address and a port",
                 "127.0.0.1:8001 | 127.0.0.1:9002 | 3 | is also a peer_address or log_address",
-                "peer_listen = \"127.0.0.1:9001\" | peer_listen = \"127.0.0.1:9009\" | 4 | the other nodes dial",
-                "log_listen = \"127.0.0.1:9101\" |  | 1 | log_listen: must stand here and as log_address",
-                "log_address = \"127.0.0.1:9101\" |  | 5 | log_listen: must stand here and as log_address",
+                "peer_listen = \"127.0.0.1:9001\" | peer_listen = \"127.0.0.1:9009\" | 4 | the other nodes connect to",
+                "log_listen = \"127.0.0.1:9101\" |  | 1 | log_listen: must be set here and as log_address",
+                "log_address = \"127.0.0.1:9101\" |  | 5 | log_listen: must be set here and as log_address",
                 "log_address = \"127.0.0.1:9101\" |  | 8 | expected 1, 3 or 5 control VMs",
                 "data_folder = \"data\" |  | 1 | data_folder: is missing; expected a folder",
                 "view_lease_ms = 3000 | view_lease_ms = 1 | 7 | is 1; expected an integer from 200 to 60000",
@@ -82,8 +82,8 @@
                 "name = \"entry-2\" | nam = \"entry-2\" | 12 | peer 2.name: is missing",
                 "view_lease_ms = 3000 | view_lease_ms = | 7 | TOML syntax"
             })
-    void faultIsListedWithItsLine(String good, String bad, int line, String expected) {
-        final String text = GOOD.replaceFirst(Pattern.quote(good), Matcher.quoteReplacement(bad == null ? "" : bad));
+    void reportsFaultWithItsLine(String validPart, String invalidPart, int line, String expected) {
+        final String text = VALID_SETTINGS.replaceFirst(Pattern.quote(validPart), Matcher.quoteReplacement(invalidPart == null ? "" : invalidPart));
 
         final List<Fault> faults = faultsOf(text);
 
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void everyFaultIsListedAtOnce() {
+    void reportsAllFaultsAtOnce() {
         final List<Fault> faults = faultsOf("nme = 1\nlisten = 2\nworker_threads = 0\n[[peer]]\n");
 
         assertThat(faults.stream().map(Fault::object).toList())
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void missingFileIsAnError() {
+    void rejectsMissingFile() {
         final WigeongradeException error =
                 assertThrows(WigeongradeException.class, () -> SettingsReader.read(Path.of("/nowhere/x.toml")));
 
@@ -121,13 +121,13 @@
 
     @ParameterizedTest
     @MethodSource("exampleFiles")
-    void exampleIsValid(Path example) {
-        assertThat(SettingsReader.readAll(example)).isInstanceOf(SettingsOutcome.Valid.class);
+    void acceptsExampleFile(Path example) {
+        assertThat(SettingsReader.tryRead(example)).isInstanceOf(SettingsResult.Valid.class);
     }
 
     @ParameterizedTest
     @CsvSource({"thistlebrand, 7, 3, scot-central", "lstra, 7, 5, tx-central"})
-    void examplesDescribeOneFleet(String deployment, int nodes, int controlVms, String region) {
+    void examplesOfDeploymentDescribeSameFleet(String deployment, int nodes, int controlVms, String region) {
         final List<NodeSettings> fleet = exampleFiles()
                 .filter(file -> file.getParent().endsWith(deployment))
                 .map(SettingsReader::read)
@@ -147,7 +147,7 @@
 
     @ParameterizedTest
     @EnumSource(LimitKey.class)
-    void pageListsEachLimit(LimitKey key) throws IOException {
+    void operatorDocsListEachLimit(LimitKey key) throws IOException {
         assertThat(Files.readString(Path.of("docs/operators/settings.md")))
                 .contains("\n| `%s` | %d | %d to %d | %s |\n"
                         .formatted(key.key(), key.defaultValue(), key.min(), key.max(), key.meaning()));
@@ -166,8 +166,8 @@
     }
 
     private static List<Fault> faultsOf(String text) {
-        final SettingsOutcome outcome = SettingsReader.parse(FILE, text);
-        assertThat(outcome).isInstanceOf(SettingsOutcome.Invalid.class);
-        return ((SettingsOutcome.Invalid) outcome).faults();
+        final SettingsResult outcome = SettingsReader.parse(FILE, text);
+        assertThat(outcome).isInstanceOf(SettingsResult.Invalid.class);
+        return ((SettingsResult.Invalid) outcome).faults();
     }
 }
