--- a/src/main/java/org/wigeongrade/command/CommandLine.java
+++ b/src/main/java/org/wigeongrade/command/CommandLine.java
@@ -83,10 +83,12 @@
         out.println("Run a subcommand with --help for its options.");
     }
 
-    private static void printHelp(SubcommandDefinition definition, Subcommand subcommand, CmdLineParser parser, PrintStream out) {
+    private static void printHelp(
+            SubcommandDefinition definition, Subcommand subcommand, CmdLineParser parser, PrintStream out) {
         out.println("wigeongrade " + definition.name() + ": " + definition.summary());
         out.println();
-        out.println("usage: wigeongrade " + definition.name() + parser.printExample(OptionHandlerFilter.REQUIRED) + " ...");
+        out.println(
+                "usage: wigeongrade " + definition.name() + parser.printExample(OptionHandlerFilter.REQUIRED) + " ...");
         out.println();
         parser.printUsage(out);
         if (!subcommand.helpText().isEmpty()) {
--- a/src/main/java/org/wigeongrade/command/EntryClient.java
+++ b/src/main/java/org/wigeongrade/command/EntryClient.java
@@ -85,11 +85,13 @@
     }
 
     private static Duration remainingTimeout(long deadlineNanos) {
-        return Duration.ofNanos(Math.max(Duration.ofMillis(MIN_RETRY_DELAY_MS).toNanos(), deadlineNanos - System.nanoTime()));
+        return Duration.ofNanos(
+                Math.max(Duration.ofMillis(MIN_RETRY_DELAY_MS).toNanos(), deadlineNanos - System.nanoTime()));
     }
 
     private static void sleepUntilRetry(long retryDelayMs, long deadlineNanos) {
-        final long remainingMs = Duration.ofNanos(deadlineNanos - System.nanoTime()).toMillis();
+        final long remainingMs =
+                Duration.ofNanos(deadlineNanos - System.nanoTime()).toMillis();
         Uninterruptibles.sleepUninterruptibly(Duration.ofMillis(Math.max(0, Math.min(retryDelayMs, remainingMs))));
     }
 
--- a/src/main/java/org/wigeongrade/command/EntrySubcommand.java
+++ b/src/main/java/org/wigeongrade/command/EntrySubcommand.java
@@ -24,7 +24,10 @@
     @Option(name = "--output", metaVar = "text|json", usage = "output format (default: text)")
     private OutputFormat outputFormat = OutputFormat.TEXT;
 
-    @Option(name = "--timeout-ms", metaVar = "MS", usage = "longest time to retry or wait, in milliseconds (default: 15000)")
+    @Option(
+            name = "--timeout-ms",
+            metaVar = "MS",
+            usage = "longest time to retry or wait, in milliseconds (default: 15000)")
     private long timeoutMs = 15_000;
 
     final JsonNode send(CommandIo io, OperatorCall call) {
--- a/src/main/java/org/wigeongrade/command/FleetTrialCommand.java
+++ b/src/main/java/org/wigeongrade/command/FleetTrialCommand.java
@@ -101,7 +101,8 @@
                 .filter(FleetTrialCommand::areFree)
                 .findFirst()
                 .orElseThrow(() -> new WigeongradeException(
-                        ErrorKind.INTERNAL, "no six free consecutive ports found; pass the first one with --first-port"));
+                        ErrorKind.INTERNAL,
+                        "no six free consecutive ports found; pass the first one with --first-port"));
     }
 
     private static boolean areFree(int first) {
--- a/src/main/java/org/wigeongrade/command/Node.java
+++ b/src/main/java/org/wigeongrade/command/Node.java
@@ -70,6 +70,7 @@
     private static final int CLAIM_WORKER_THREADS = 16;
     /** Time between failing the health check and refusing requests, so that the load balancer stops sending first. */
     private static final long BALANCER_DRAIN_DELAY_MS = 1_000;
+
     private static final int LOG_FAILURE_EXIT_CODE = 70;
 
     private final NodeSettings settings;
@@ -81,8 +82,10 @@
     private final EntryRole entryRole;
     private final InFlight inFlight;
     private final ImmutableMap<NodeName, PeerClient> peers;
-    private final ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1, daemonThreadFactory("timer"));
-    private final ExecutorService workers = Executors.newFixedThreadPool(CLAIM_WORKER_THREADS, daemonThreadFactory("worker-%d"));
+    private final ScheduledThreadPoolExecutor scheduler =
+            new ScheduledThreadPoolExecutor(1, daemonThreadFactory("timer"));
+    private final ExecutorService workers =
+            Executors.newFixedThreadPool(CLAIM_WORKER_THREADS, daemonThreadFactory("worker-%d"));
     private final AtomicBoolean stopRequested = new AtomicBoolean();
     private final CountDownLatch stopped = new CountDownLatch(1);
 
@@ -240,7 +243,12 @@
         chain.insert(new HealthApi(entryRole, metrics));
         chain.insert(new EndpointApi(entryRole));
         chain.insert(new OperatorApi(
-                entryRole, link, new Explanations(entryRole, controlRole, link, peers), events, epochMsClock, this::stop));
+                entryRole,
+                link,
+                new Explanations(entryRole, controlRole, link, peers),
+                events,
+                epochMsClock,
+                this::stop));
         chain.insert(new CallerApi(services, inFlight));
     }
 
--- a/src/main/java/org/wigeongrade/command/NodeCommand.java
+++ b/src/main/java/org/wigeongrade/command/NodeCommand.java
@@ -15,8 +15,8 @@
 import org.wigeongrade.metrics.Metrics;
 import org.wigeongrade.settings.Fault;
 import org.wigeongrade.settings.NodeSettings;
-import org.wigeongrade.settings.SettingsResult;
 import org.wigeongrade.settings.SettingsReader;
+import org.wigeongrade.settings.SettingsResult;
 
 /** Runs one node until it is stopped. Not safe for use from several threads. */
 final class NodeCommand extends Subcommand {
--- a/src/main/java/org/wigeongrade/command/Subcommands.java
+++ b/src/main/java/org/wigeongrade/command/Subcommands.java
@@ -13,7 +13,9 @@
     public static final ImmutableList<SubcommandDefinition> ALL = ImmutableList.of(
             new SubcommandDefinition("node", "run one node of the system", NodeCommand::new),
             new SubcommandDefinition(
-                    "fleet-node", "run a node of a fleet whose nodes find each other through seeds", FleetNodeCommand::new),
+                    "fleet-node",
+                    "run a node of a fleet whose nodes find each other through seeds",
+                    FleetNodeCommand::new),
             new SubcommandDefinition(
                     "fleet-trial", "start one control and one entry node for some seconds", FleetTrialCommand::new),
             new SubcommandDefinition("check", "check a declared set without publishing it", CheckCommand::new),
@@ -25,7 +27,8 @@
             new SubcommandDefinition("stop", "stop one node gracefully", StopCommand::new),
             new SubcommandDefinition("standin engine", "run a stand-in for an engine VM", () -> standin("engine")),
             new SubcommandDefinition("standin service", "run a stand-in for a plain service", () -> standin("service")),
-            new SubcommandDefinition("standin weightstore", "run a stand-in weight store", () -> standin("weightstore")),
+            new SubcommandDefinition(
+                    "standin weightstore", "run a stand-in weight store", () -> standin("weightstore")),
             new SubcommandDefinition("bench", "send load to entry VMs and report latencies", BenchCommand::new),
             new SubcommandDefinition("version", "print the version", VersionCommand::new));
 
@@ -37,6 +40,8 @@
 
     /** Finds the subcommand whose words begin the command line. */
     public static Optional<SubcommandDefinition> find(List<String> commandLine) {
-        return ALL.stream().filter(definition -> definition.matches(commandLine)).findFirst();
+        return ALL.stream()
+                .filter(definition -> definition.matches(commandLine))
+                .findFirst();
     }
 }
--- a/src/main/java/org/wigeongrade/command/TextRenderer.java
+++ b/src/main/java/org/wigeongrade/command/TextRenderer.java
@@ -77,7 +77,8 @@
                 .toList()));
         final int[] widths = new int[columns.size()];
         tableRows.forEach(cells -> updateColumnWidths(widths, cells));
-        tableRows.forEach(cells -> text.append(indent).append(alignColumns(cells, widths)).append('\n'));
+        tableRows.forEach(
+                cells -> text.append(indent).append(alignColumns(cells, widths)).append('\n'));
     }
 
     private static void updateColumnWidths(int[] widths, List<String> cells) {
--- a/src/main/java/org/wigeongrade/command/WhyCommand.java
+++ b/src/main/java/org/wigeongrade/command/WhyCommand.java
@@ -26,7 +26,11 @@
             usage = "kind of the object")
     private ObjectKind kind;
 
-    @Argument(index = 1, required = true, metaVar = "ID", usage = "name of the object, or the request id from a response")
+    @Argument(
+            index = 1,
+            required = true,
+            metaVar = "ID",
+            usage = "name of the object, or the request id from a response")
     private String id;
 
     @Override
--- a/src/main/java/org/wigeongrade/logging/EventLog.java
+++ b/src/main/java/org/wigeongrade/logging/EventLog.java
@@ -52,7 +52,8 @@
         }
         final OptionalLong suppressed = rateLimiters.get(event).tryAcquire(clockNanos.getAsLong());
         if (suppressed.orElse(0) > 0) {
-            final EventRecord suppressedRecord = EventRecord.of(LogEvent.RECORDS_SUPPRESSED, suppressed.getAsLong(), event.code());
+            final EventRecord suppressedRecord =
+                    EventRecord.of(LogEvent.RECORDS_SUPPRESSED, suppressed.getAsLong(), event.code());
             logger.log(LogEvent.RECORDS_SUPPRESSED.level(), "{0}", suppressedRecord);
         }
         return suppressed.isPresent();
--- a/src/main/java/org/wigeongrade/logging/LogfmtFormatter.java
+++ b/src/main/java/org/wigeongrade/logging/LogfmtFormatter.java
@@ -35,7 +35,8 @@
         if (EventLog.LOGGER_NAME.equals(logRecord.getLoggerName()) && message.startsWith(EVENT_PREFIX)) {
             return message;
         }
-        return EVENT_PREFIX + "0 name=library logger=" + LogfmtValue.quoteIfNeeded(String.valueOf(logRecord.getLoggerName()))
-                + " message=" + LogfmtValue.quote(message);
+        return EVENT_PREFIX + "0 name=library logger="
+                + LogfmtValue.quoteIfNeeded(String.valueOf(logRecord.getLoggerName())) + " message="
+                + LogfmtValue.quote(message);
     }
 }
--- a/src/main/java/org/wigeongrade/settings/SettingsChecks.java
+++ b/src/main/java/org/wigeongrade/settings/SettingsChecks.java
@@ -45,14 +45,16 @@
         if (!matchesListenAddress(own.get().peerAddress(), settings.peerListen())) {
             table.report(
                     "peer_listen",
-                    mismatchMessage(settings.peerListen(), "peer_address", own.get().peerAddress()));
+                    mismatchMessage(
+                            settings.peerListen(), "peer_address", own.get().peerAddress()));
         }
         if (own.get().logAddress().isPresent() != settings.logListen().isPresent()) {
             table.report("log_listen", "must be set here and as log_address in this node's [[peer]], or in neither");
             return;
         }
         if (settings.isControl()
-                && !matchesListenAddress(own.get().logAddress().get(), settings.logListen().get())) {
+                && !matchesListenAddress(
+                        own.get().logAddress().get(), settings.logListen().get())) {
             table.report(
                     "log_listen",
                     mismatchMessage(
@@ -63,7 +65,9 @@
     }
 
     private static boolean matchesListenAddress(NodeAddress connectAddress, NodeAddress listenAddress) {
-        return listenAddress.isWildcard() ? connectAddress.port() == listenAddress.port() : connectAddress.equals(listenAddress);
+        return listenAddress.isWildcard()
+                ? connectAddress.port() == listenAddress.port()
+                : connectAddress.equals(listenAddress);
     }
 
     private static String mismatchMessage(NodeAddress listenAddress, String peerKey, NodeAddress connectAddress) {
@@ -109,7 +113,8 @@
             }
         });
         if (counts.containsKey(settings.listen())) {
-            table.report("listen", settings.listen() + " is also a peer_address or log_address; expected a port of its own");
+            table.report(
+                    "listen", settings.listen() + " is also a peer_address or log_address; expected a port of its own");
         }
     }
 
@@ -120,12 +125,14 @@
         checkAtMost(limits, table, LimitKey.BODY_READ_TIMEOUT_MS, LimitKey.REQUEST_TIMEOUT_MS, 1);
     }
 
-    private static void checkAtMost(NodeLimits limits, TomlTableReader table, LimitKey smallerKey, LimitKey largerKey, int divisor) {
+    private static void checkAtMost(
+            NodeLimits limits, TomlTableReader table, LimitKey smallerKey, LimitKey largerKey, int divisor) {
         final long max = limits.value(largerKey) / divisor;
         if (limits.value(smallerKey) > max) {
             final String bound = divisor == 1 ? largerKey.key() : largerKey.key() + " / " + divisor;
             table.report(
-                    smallerKey.key(), "is " + limits.value(smallerKey) + "; expected at most " + bound + ", which is " + max);
+                    smallerKey.key(),
+                    "is " + limits.value(smallerKey) + "; expected at most " + bound + ", which is " + max);
         }
     }
 }
--- a/src/main/java/org/wigeongrade/settings/SettingsReader.java
+++ b/src/main/java/org/wigeongrade/settings/SettingsReader.java
@@ -74,8 +74,8 @@
         final Optional<NodeAddress> listen = requiredAddress(table, "listen");
         final Optional<NodeAddress> peerListen = requiredAddress(table, "peer_listen");
         final Optional<NodeAddress> logListen = table.optionalConverted("log_listen", NodeAddress::of);
-        final Optional<Path> dataFolder =
-                table.optionalConverted("data_folder", text -> file.toAbsolutePath().resolveSibling(text));
+        final Optional<Path> dataFolder = table.optionalConverted(
+                "data_folder", text -> file.toAbsolutePath().resolveSibling(text));
         final NodeLimits limits = readLimits(table);
         final List<PeerSettings> peers = readPeers(table);
         if (name.isEmpty() || zone.isEmpty() || listen.isEmpty() || peerListen.isEmpty()) {
--- a/src/main/java/org/wigeongrade/settings/TomlTableReader.java
+++ b/src/main/java/org/wigeongrade/settings/TomlTableReader.java
@@ -98,7 +98,8 @@
      */
     public Optional<Double> number(String key, double min, double max) {
         final String expected = "a number from " + min + " to " + max;
-        final Optional<Double> number = optionalValue(key, Number.class, expected).map(Number::doubleValue);
+        final Optional<Double> number =
+                optionalValue(key, Number.class, expected).map(Number::doubleValue);
         if (number.isPresent() && (number.get() < min || number.get() > max)) {
             report(key, "is " + number.get() + "; expected " + expected);
             return Optional.empty();
--- a/src/test/java/org/wigeongrade/command/ChangeCommandsTest.java
+++ b/src/test/java/org/wigeongrade/command/ChangeCommandsTest.java
@@ -19,9 +19,10 @@
 /** Runs complete commands against a fake entry VM. */
 final class ChangeCommandsTest {
     private static final String ACCEPTED_RESPONSE = "200 {\"revision\":5}";
-    private static final String FAULTS_RESPONSE = "422 {\"error\":{\"code\":\"invalid_configuration\",\"message\":\"2 faults\","
-            + "\"faults\":[{\"file\":\"body\",\"line\":3,\"object\":\"pool chat\",\"message\":\"no such model version\"},"
-            + "{\"file\":\"body\",\"line\":1,\"object\":\"zone a\",\"message\":\"declared twice\"}]}}";
+    private static final String FAULTS_RESPONSE =
+            "422 {\"error\":{\"code\":\"invalid_configuration\",\"message\":\"2 faults\","
+                    + "\"faults\":[{\"file\":\"body\",\"line\":3,\"object\":\"pool chat\",\"message\":\"no such model version\"},"
+                    + "{\"file\":\"body\",\"line\":1,\"object\":\"zone a\",\"message\":\"declared twice\"}]}}";
 
     @TempDir
     private Path folder;
@@ -34,7 +35,8 @@
         final Path zones = Files.writeString(folder.resolve("zones.toml"), "one\ntwo\n");
         final Path pools = Files.writeString(folder.resolve("pools.toml"), "three\n");
 
-        final ExitCode exitCode = run(FAULTS_RESPONSE, "apply", "--base-revision", "4", zones.toString(), pools.toString());
+        final ExitCode exitCode =
+                run(FAULTS_RESPONSE, "apply", "--base-revision", "4", zones.toString(), pools.toString());
 
         assertThat(exitCode).isEqualTo(ExitCode.REFUSED);
         assertThat(errors()).contains("  " + pools + ":1: pool chat: no such model version\n");
@@ -45,8 +47,8 @@
     @Test
     void readsEntryVmsFromEnvironment() throws IOException {
         try (FakeEntryVm entry = new FakeEntryVm(ACCEPTED_RESPONSE)) {
-            final Map<String, String> environment =
-                    Map.of("WIGEONGRADE_ENTRIES", FakeEntryVm.unreachableAddress() + ", " + entry.address(), "USER", "ann b");
+            final Map<String, String> environment = Map.of(
+                    "WIGEONGRADE_ENTRIES", FakeEntryVm.unreachableAddress() + ", " + entry.address(), "USER", "ann b");
 
             assertThat(run(environment, List.of("zone", "out", "zone-a", "--change-id", "c-7")))
                     .isEqualTo(ExitCode.OK);
--- a/src/test/java/org/wigeongrade/command/CommandLineTest.java
+++ b/src/test/java/org/wigeongrade/command/CommandLineTest.java
@@ -90,9 +90,18 @@
         final DeclaredFiles declaredFiles = DeclaredFiles.read(List.of(first, second));
 
         assertThat(declaredFiles.joinedText()).isEqualTo("one\ntwo\nthree\nfour\n");
-        assertThat(declaredFiles.withFileAndLine(new Fault("", 2, "pool x", "bad")).toLine()).isEqualTo(first + ":2: pool x: bad");
-        assertThat(declaredFiles.withFileAndLine(new Fault("", 3, "pool x", "bad")).toLine()).isEqualTo(second + ":1: pool x: bad");
-        assertThat(declaredFiles.withFileAndLine(new Fault("", 0, "pool x", "bad")).toLine()).isEqualTo("declared set: pool x: bad");
+        assertThat(declaredFiles
+                        .withFileAndLine(new Fault("", 2, "pool x", "bad"))
+                        .toLine())
+                .isEqualTo(first + ":2: pool x: bad");
+        assertThat(declaredFiles
+                        .withFileAndLine(new Fault("", 3, "pool x", "bad"))
+                        .toLine())
+                .isEqualTo(second + ":1: pool x: bad");
+        assertThat(declaredFiles
+                        .withFileAndLine(new Fault("", 0, "pool x", "bad"))
+                        .toLine())
+                .isEqualTo("declared set: pool x: bad");
     }
 
     @Test
--- a/src/test/java/org/wigeongrade/command/EntryClientTest.java
+++ b/src/test/java/org/wigeongrade/command/EntryClientTest.java
@@ -73,7 +73,11 @@
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
-            value = {NO_VIEW_LEASE + "|UNREACHABLE", CONNECTION_CLOSED + "|OUTCOME_UNKNOWN", OUTCOME_UNKNOWN + "|OUTCOME_UNKNOWN"})
+            value = {
+                NO_VIEW_LEASE + "|UNREACHABLE",
+                CONNECTION_CLOSED + "|OUTCOME_UNKNOWN",
+                OUTCOME_UNKNOWN + "|OUTCOME_UNKNOWN"
+            })
     void reportsOutcomeAtDeadline(String response, ExitCode expected) throws IOException {
         final EntryClient client = client(SHORT_TIMEOUT_MS, entry(response), FakeEntryVm.unreachableAddress());
 
@@ -84,7 +88,8 @@
 
     @Test
     void outcomeStaysUnknownIfLaterAttemptIsNotRun() throws IOException {
-        final EntryClient client = client(SHORT_TIMEOUT_MS, entry(CONNECTION_CLOSED, NO_VIEW_LEASE), entry(NO_VIEW_LEASE));
+        final EntryClient client =
+                client(SHORT_TIMEOUT_MS, entry(CONNECTION_CLOSED, NO_VIEW_LEASE), entry(NO_VIEW_LEASE));
 
         final CommandException error = assertThrows(CommandException.class, () -> client.send(change()));
 
--- a/src/test/java/org/wigeongrade/settings/SettingsReaderTest.java
+++ b/src/test/java/org/wigeongrade/settings/SettingsReaderTest.java
@@ -83,7 +83,8 @@
                 "view_lease_ms = 3000 | view_lease_ms = | 7 | TOML syntax"
             })
     void reportsFaultWithItsLine(String validPart, String invalidPart, int line, String expected) {
-        final String text = VALID_SETTINGS.replaceFirst(Pattern.quote(validPart), Matcher.quoteReplacement(invalidPart == null ? "" : invalidPart));
+        final String text = VALID_SETTINGS.replaceFirst(
+                Pattern.quote(validPart), Matcher.quoteReplacement(invalidPart == null ? "" : invalidPart));
 
         final List<Fault> faults = faultsOf(text);
 
