--- a/src/main/java/org/wigeongrade/standin/Announcement.java
+++ b/src/main/java/org/wigeongrade/standin/Announcement.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What an endpoint VM tells an entry VM about itself, as in the endpoint protocol. Immutable; thread-safe. */
+/** The state that an endpoint VM reports to an entry VM in the endpoint protocol. Immutable; thread-safe. */
 public record Announcement(
         String vm,
         long incarnation,
--- a/src/main/java/org/wigeongrade/standin/Announcer.java
+++ b/src/main/java/org/wigeongrade/standin/Announcer.java
@@ -13,7 +13,7 @@
 import java.util.function.Supplier;
 
 /**
- * Sends one VM's announcement to the next entry VM each {@value #PERIOD_MS} ms. Safe for use from any thread.
+ * Sends one VM's announcement to the next healthy entry VM every {@value #PERIOD_MS} ms. Safe for use from any thread.
  */
 final class Announcer implements AutoCloseable {
     static final long PERIOD_MS = 500;
@@ -24,7 +24,7 @@
     private final Supplier<Optional<Announcement>> announcement;
     private final ScheduledFuture<?> periodic;
 
-    /** Starts to announce; {@code announcement} gives the next one to send and is empty while the VM is silent. */
+    /** Starts sending; {@code announcement} supplies the next message and is empty while the VM sends none. */
     Announcer(
             EntryBalancer balancer,
             HttpClient client,
@@ -40,9 +40,9 @@
         announcement.get().ifPresent(message -> send(StandinJson.write(message), 2));
     }
 
-    private void send(String json, int triesLeft) {
+    private void send(String json, int attemptsLeft) {
         Optional<String> entry = balancer.next();
-        if (entry.isEmpty() || triesLeft == 0) {
+        if (entry.isEmpty() || attemptsLeft == 0) {
             return;
         }
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + entry.get() + "/v1/announcements"))
@@ -51,10 +51,10 @@
                 .POST(HttpRequest.BodyPublishers.ofString(json))
                 .build();
         CompletableFuture<?> unused = client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
-                .whenComplete((answer, failure) -> {
+                .whenComplete((response, failure) -> {
                     if (failure != null && EntryBalancer.isRefused(failure)) {
-                        balancer.reportRefused(entry.get());
-                        send(json, triesLeft - 1);
+                        balancer.markUnhealthy(entry.get());
+                        send(json, attemptsLeft - 1);
                     }
                 });
     }
--- a/src/main/java/org/wigeongrade/standin/HostOptions.java
+++ b/src/main/java/org/wigeongrade/standin/EndpointOptions.java
@@ -5,20 +5,22 @@
 import org.kohsuke.args4j.Option;
 
 /** Command line options that all stand-in endpoints share. Not safe for concurrent use. */
-public class HostOptions {
+public class EndpointOptions {
     @Option(name = "--vm", usage = "name of the VM")
     String vm = "";
 
-    @Option(name = "--vms", usage = "names of several VMs, with commas; they listen at consecutive ports")
+    @Option(name = "--vms", usage = "names of several VMs, separated by commas; they listen at consecutive ports")
     String vms = "";
 
-    @Option(name = "--zone", usage = "availability zone; several with commas are dealt out over the VMs in blocks")
+    @Option(
+            name = "--zone",
+            usage = "availability zone; several, separated by commas, are assigned to contiguous blocks of VMs")
     String zone = "zone-a";
 
     @Option(name = "--listen", usage = "ip:port of the first VM", required = true)
     String listen = "";
 
-    @Option(name = "--entries", usage = "ip:port of each entry VM, with commas")
+    @Option(name = "--entries", usage = "ip:port of each entry VM, separated by commas")
     String entries = "";
 
     @Option(name = "--journal", usage = "file to append the journal to")
@@ -27,7 +29,7 @@
     @Option(name = "--threads", usage = "event loop threads of each VM")
     int threads = 1;
 
-    @Option(name = "--seed", usage = "seed of the fault switches")
+    @Option(name = "--seed", usage = "seed of the fault injection")
     long seed = 1;
 
     List<String> vmNames() {
@@ -42,8 +44,8 @@
         return list.isEmpty() ? List.of() : List.of(list.split(","));
     }
 
-    /** Returns the value of VM {@code index} when the values of {@code list} are dealt out in blocks. */
-    String dealt(String list, int index) {
+    /** Returns the value for VM {@code index} if each value of {@code list} goes to one contiguous block of VMs. */
+    String valueForVm(String list, int index) {
         List<String> values = split(list);
         return values.get(index * values.size() / vmNames().size());
     }
--- a/src/main/java/org/wigeongrade/standin/EngineHandlers.java
+++ b/src/main/java/org/wigeongrade/standin/EngineHandlers.java
@@ -9,9 +9,9 @@
 import ratpack.handling.Context;
 import ratpack.http.ResponseChunks;
 
-/** HTTP side of one stand-in engine VM. Safe for use from any thread. */
+/** HTTP handlers of one stand-in engine VM. Safe for use from any thread. */
 final class EngineHandlers {
-    private static final String WRONG_ID = "attempt-of-another-request";
+    private static final String WRONG_ATTEMPT_ID = "attempt-of-another-request";
 
     private final EngineVm engine;
 
@@ -19,26 +19,26 @@
         this.engine = engine;
     }
 
-    /** Adds the engine's paths to {@code chain}. */
+    /** Adds the handlers of the engine's paths to {@code chain}. */
     void addTo(Chain chain) throws Exception {
-        chain.post("v1/orders", this::order);
-        chain.post("v1/chat/completions", ctx -> generate(ctx, AnswerForm.CHAT));
-        chain.post("v1/completions", ctx -> generate(ctx, AnswerForm.COMPLETION));
-        chain.get("standin/journal", ctx -> ctx.render(engine.journal().text()));
-        chain.post("standin/faults", this::faults);
+        chain.post("v1/orders", this::handleOrder);
+        chain.post("v1/chat/completions", ctx -> handleGeneration(ctx, ResponseFormat.CHAT));
+        chain.post("v1/completions", ctx -> handleGeneration(ctx, ResponseFormat.COMPLETION));
+        chain.get("standin/journal", ctx -> ctx.render(engine.journal().toJsonLines()));
+        chain.post("standin/faults", this::handleFaults);
     }
 
-    private void faults(Context ctx) {
+    private void handleFaults(Context ctx) {
         ctx.getRequest().getBody().then(body -> {
             engine.apply(StandinJson.MAPPER.readValue(body.getText(), Faults.class));
             ctx.render("");
         });
     }
 
-    private void order(Context ctx) {
+    private void handleOrder(Context ctx) {
         ctx.getRequest().getBody().then(body -> {
             EngineOrder order = StandinJson.MAPPER.readValue(body.getText(), EngineOrder.class);
-            if (engine.follow(order)) {
+            if (engine.handleOrder(order)) {
                 StandinServer.sendJson(ctx, 200, Map.of("accepted", true));
             } else {
                 StandinServer.sendJson(ctx, 409, Map.of("accepted", false, "error", "stale_fencing_token"));
@@ -46,16 +46,16 @@
         });
     }
 
-    private void generate(Context ctx, AnswerForm form) {
+    private void handleGeneration(Context ctx, ResponseFormat format) {
         ctx.getRequest().getBody().then(body -> {
             Optional<Prompt> prompt = parse(body.getText());
             if (prompt.isEmpty()) {
                 StandinServer.sendJson(ctx, 400, Map.of("error", "the body needs messages or a prompt"));
                 return;
             }
-            String attempt = StandinServer.header(ctx, "X-Request-Id", "");
+            String attemptId = StandinServer.header(ctx, "X-Request-Id", "");
             int priority = Integer.parseInt(StandinServer.header(ctx, "X-Request-Priority", "0"));
-            answer(ctx, form, prompt.get(), engine.admit(attempt, prompt.get(), priority));
+            respond(ctx, format, prompt.get(), engine.admit(attemptId, prompt.get(), priority));
         });
     }
 
@@ -68,46 +68,46 @@
         }
     }
 
-    private void answer(Context ctx, AnswerForm form, Prompt prompt, Admission admission) {
+    private void respond(Context ctx, ResponseFormat format, Prompt prompt, Admission admission) {
         if (admission instanceof Admission.Refused refused) {
             StandinServer.sendRefusal(ctx, refused.httpStatus(), refused.reason());
-        } else if (admission instanceof Admission.Taken taken) {
-            send(ctx, form, prompt, taken.generation());
+        } else if (admission instanceof Admission.Admitted admitted) {
+            sendGeneration(ctx, format, prompt, admitted.generation());
         } else {
-            StandinServer.cutConnection(ctx);
+            StandinServer.closeConnection(ctx);
         }
     }
 
-    private void send(Context ctx, AnswerForm form, Prompt prompt, Generation generation) {
-        String id = engine.faults().givesWrongId() ? WRONG_ID : generation.attempt();
-        ctx.getResponse().getHeaders().set("X-Request-Id", id);
+    private void sendGeneration(Context ctx, ResponseFormat format, Prompt prompt, Generation generation) {
+        String attemptId = engine.faults().usesWrongAttemptId() ? WRONG_ATTEMPT_ID : generation.attemptId();
+        ctx.getResponse().getHeaders().set("X-Request-Id", attemptId);
         if (generation.cold()) {
             ctx.getResponse().getHeaders().set("X-Endpoint-State", "cold");
         }
         StandinServer.whenConnectionCloses(ctx, generation::cancel);
         if (prompt.stream()) {
-            sendStream(ctx, form, id, generation);
+            sendStream(ctx, format, attemptId, generation);
         } else {
-            sendWhole(ctx, form, id, prompt, generation);
+            sendFullBody(ctx, format, attemptId, prompt, generation);
         }
     }
 
-    private void sendStream(Context ctx, AnswerForm form, String id, Generation generation) {
+    private void sendStream(Context ctx, ResponseFormat format, String attemptId, Generation generation) {
         EventPublisher events = new EventPublisher(generation::cancel);
-        generation.open(new Generation.Listener() {
+        generation.start(new Generation.Listener() {
             @Override
-            public void token(String text) {
-                events.put(event(form.streamed(id, text, null)));
+            public void onToken(String text) {
+                events.publish(event(format.streamEvent(attemptId, text, null)));
             }
 
             @Override
-            public void ended(JournalEvent outcome) {
+            public void onEnd(JournalEvent outcome) {
                 if (outcome == JournalEvent.COMPLETED) {
-                    events.put(event(form.streamed(id, "", "length")));
-                    events.put("data: [DONE]\n\n");
+                    events.publish(event(format.streamEvent(attemptId, "", "length")));
+                    events.publish("data: [DONE]\n\n");
                     events.end();
                 } else if (outcome != JournalEvent.CANCELLED) {
-                    StandinServer.cutConnection(ctx);
+                    StandinServer.closeConnection(ctx);
                 }
             }
         });
@@ -118,29 +118,31 @@
         return "data: " + StandinJson.write(message) + "\n\n";
     }
 
-    private void sendWhole(Context ctx, AnswerForm form, String id, Prompt prompt, Generation generation) {
-        Promise.<Optional<String>>async(down -> generation.open(new Generation.Listener() {
+    private void sendFullBody(
+            Context ctx, ResponseFormat format, String attemptId, Prompt prompt, Generation generation) {
+        Promise.<Optional<String>>async(downstream -> generation.start(new Generation.Listener() {
                     private final StringBuilder text = new StringBuilder();
 
                     @Override
-                    public void token(String token) {
+                    public void onToken(String token) {
                         text.append(token);
                     }
 
                     @Override
-                    public void ended(JournalEvent outcome) {
-                        down.success(
+                    public void onEnd(JournalEvent outcome) {
+                        downstream.success(
                                 outcome == JournalEvent.COMPLETED ? Optional.of(text.toString()) : Optional.empty());
                     }
                 }))
                 .then(text -> {
-                    if (text.isEmpty() || engine.faults().dropsAnswer()) {
-                        StandinServer.cutConnection(ctx);
+                    if (text.isEmpty() || engine.faults().dropsResponse()) {
+                        StandinServer.closeConnection(ctx);
                         return;
                     }
                     int tokens = text.get().length() / AnswerText.TOKEN_CHARS;
                     int promptTokens = prompt.text().length() / AnswerText.TOKEN_CHARS;
-                    StandinServer.sendJson(ctx, 200, form.whole(id, prompt.model(), text.get(), promptTokens, tokens));
+                    StandinServer.sendJson(
+                            ctx, 200, format.fullBody(attemptId, prompt.model(), text.get(), promptTokens, tokens));
                 });
     }
 }
--- a/src/main/java/org/wigeongrade/standin/EngineOrder.java
+++ b/src/main/java/org/wigeongrade/standin/EngineOrder.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.wigeongrade.ids.FencingToken;
 
-/** An order of the control leader, as in the endpoint protocol. Immutable; safe for use from any thread. */
+/** An order of the control leader to an engine VM in the endpoint protocol. Immutable; safe for use from any thread. */
 record EngineOrder(
         String order,
         String group,
@@ -20,7 +20,7 @@
         return "join".equals(order);
     }
 
-    FencingToken token() {
+    FencingToken fencingToken() {
         return new FencingToken(term, sequence);
     }
 }
--- a/src/main/java/org/wigeongrade/standin/EngineSettings.java
+++ b/src/main/java/org/wigeongrade/standin/EngineSettings.java
@@ -1,11 +1,12 @@
 package org.wigeongrade.standin;
 
 /**
- * How one stand-in engine VM behaves.
+ * Settings of one stand-in engine VM.
  *
- * <p>{@code coldRequests} is the number of completed answers after which a cold engine is warm. {@code coldGraceMs} is
- * the time after turning cold in which surplus load does not make it fail. {@code downMs} is how long a failed VM stays
- * silent before it is back under a new incarnation; 0 ends the process instead. Immutable; safe for use from any thread.
+ * <p>{@code coldRequests} is the number of completed responses after which a cold engine becomes warm. {@code
+ * coldGraceMs} is the time after turning cold during which load above {@code coldCapacity} does not make the VM fail.
+ * {@code downMs} is the time for which a failed VM stays down before it restarts with a new incarnation; if it is 0,
+ * the process ends instead. Immutable; safe for use from any thread.
  */
 record EngineSettings(
         String vm,
--- a/src/main/java/org/wigeongrade/standin/EngineStandin.java
+++ b/src/main/java/org/wigeongrade/standin/EngineStandin.java
@@ -8,7 +8,7 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Stands in for model engines: one or several VMs in this process, each with its own address and announcements.
+ * Simulates model engines: one or several VMs in this process, each with its own address and announcements.
  *
  * <p>Safe for use from any thread.
  */
@@ -26,7 +26,7 @@
         this.balancer = new EntryBalancer(options.entryAddresses(), options.httpClient());
     }
 
-    /** Starts the VMs that {@code options} name. */
+    /** Starts the VMs named in {@code options}. */
     public static EngineStandin start(Options options) throws Exception {
         EngineStandin standin = new EngineStandin(options);
         for (int i = 0; i < options.vmNames().size(); i++) {
@@ -54,8 +54,10 @@
     }
 
     /** Command line options of the engine stand-in. Not safe for concurrent use. */
-    public static final class Options extends HostOptions implements StandinCommand {
-        @Option(name = "--domain", usage = "fabric domain; several with commas are dealt out over the VMs in blocks")
+    public static final class Options extends EndpointOptions implements StandinCommand {
+        @Option(
+                name = "--domain",
+                usage = "fabric domain; several, separated by commas, are assigned to contiguous blocks of VMs")
         private String domain = "domain-a";
 
         @Option(name = "--accelerators", usage = "accelerators of each VM")
@@ -67,28 +69,32 @@
         @Option(name = "--load-ms", usage = "time to load a model version, in milliseconds")
         private long loadMs = 500;
 
-        @Option(name = "--capacity", usage = "requests that run at once when warm")
+        @Option(name = "--capacity", usage = "requests that run concurrently when warm")
         private int capacity = 8;
 
-        @Option(name = "--cold-capacity", usage = "requests that it bears in flight when cold")
+        @Option(name = "--cold-capacity", usage = "requests in flight above which a cold VM fails")
         private int coldCapacity = 2;
 
-        @Option(name = "--cold-requests", usage = "completed answers after which it is warm")
+        @Option(name = "--cold-requests", usage = "completed responses after which a cold VM becomes warm")
         private int coldRequests = 4;
 
-        @Option(name = "--cold-grace-ms", usage = "time after turning cold without failure, in milliseconds")
+        @Option(
+                name = "--cold-grace-ms",
+                usage = "time after turning cold during which overload does not make the VM fail, in milliseconds")
         private long coldGraceMs = 0;
 
-        @Option(name = "--down-ms", usage = "time that a failed VM stays silent; 0 ends the process")
+        @Option(
+                name = "--down-ms",
+                usage = "time for which a failed VM stays down, in milliseconds; 0 ends the process")
         private long downMs = 0;
 
-        @Option(name = "--prefill-ms", usage = "time for each uncached block of the prompt, in milliseconds")
+        @Option(name = "--prefill-ms", usage = "time to process each uncached block of the prompt, in milliseconds")
         private long prefillMs = 1;
 
         @Option(name = "--token-ms", usage = "time between tokens, in milliseconds")
         private long tokenMs = 5;
 
-        @Option(name = "--report-lag-ms", usage = "lag of the load report, in milliseconds")
+        @Option(name = "--report-lag-ms", usage = "age of the load that is reported, in milliseconds")
         private long reportLagMs = 0;
 
         @Option(name = "--cache-blocks", usage = "size of the prefix cache in blocks")
@@ -107,8 +113,8 @@
             return new EngineSettings(
                     vmNames().get(index),
                     addresses().get(index),
-                    dealt(zone, index),
-                    dealt(domain, index),
+                    valueForVm(zone, index),
+                    valueForVm(domain, index),
                     accelerators,
                     "checked".equals(fencing),
                     loadMs,
--- a/src/main/java/org/wigeongrade/standin/EngineState.java
+++ b/src/main/java/org/wigeongrade/standin/EngineState.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** State that an endpoint VM announces. */
+/** State of an engine VM, as it announces it. */
 enum EngineState {
     IDLE,
     LOADING,
--- a/src/main/java/org/wigeongrade/standin/EngineVm.java
+++ b/src/main/java/org/wigeongrade/standin/EngineVm.java
@@ -11,24 +11,24 @@
 import org.wigeongrade.ids.FencingToken;
 
 /**
- * State of one stand-in engine VM: the order it follows, its load and its cold start.
+ * State of one stand-in engine VM: its group as ordered by the control leader, its load and its cold start.
  *
- * <p>Invariants: at most the capacity runs, the rest waits by priority; requests are taken only while it is cold or warm
- * and first in its group. One lock, this object, guards everything; generations are never called under it. Safe for use
- * from any thread.
+ * <p>Invariants: at most {@code capacity} requests run and the others wait in order of priority; requests are admitted
+ * only while the VM is cold or warm and the first member of its group. All state is guarded by the lock of this object;
+ * while it is held, no synchronized method and no listener of a generation is called. Safe for use from any thread.
  */
 final class EngineVm {
     private static final int EXIT_STATUS = 70;
-    private static final int CACHE_EVENTS_EACH = 256;
+    private static final int MAX_CACHE_EVENTS_PER_ANNOUNCEMENT = 256;
     private static final Comparator<Generation> BY_PRIORITY =
             Comparator.comparingInt(Generation::priority).reversed();
 
     private final EngineSettings settings;
     private final ScheduledExecutorService timer;
-    private final FaultSwitches faults;
+    private final FaultInjector faults;
     private final Journal journal;
     private final PrefixCache cache;
-    private final LaggingLoad load;
+    private final LaggingLoadReport loadReport;
     private final List<Generation> running = new ArrayList<>();
     private final PriorityQueue<Generation> waiting = new PriorityQueue<>(BY_PRIORITY);
     private final List<Generation> admitted = new ArrayList<>();
@@ -39,10 +39,10 @@
     private String group;
     private List<String> members = List.of();
     private String modelVersion;
-    private FencingToken token = FencingToken.NONE;
-    private int coldAnswers;
+    private FencingToken fencingToken = FencingToken.NONE;
+    private int coldCompletions;
     private long coldSinceNanos;
-    private long loadNumber;
+    private long modelLoadNumber;
     private long sequence;
     private long cacheSequence;
 
@@ -50,16 +50,16 @@
         this.settings = settings;
         this.timer = timer;
         this.journal = journal;
-        this.faults = new FaultSwitches(settings.seed());
+        this.faults = new FaultInjector(settings.seed());
         this.cache = new PrefixCache(settings.cacheBlocks());
-        this.load = new LaggingLoad(TimeUnit.MILLISECONDS.toNanos(settings.reportLagMs()));
+        this.loadReport = new LaggingLoadReport(TimeUnit.MILLISECONDS.toNanos(settings.reportLagMs()));
     }
 
     ScheduledExecutorService timer() {
         return timer;
     }
 
-    FaultSwitches faults() {
+    FaultInjector faults() {
         return faults;
     }
 
@@ -71,14 +71,14 @@
         return settings.tokenMs();
     }
 
-    /** Follows an order; returns false if its fencing token is old and this VM checks tokens. */
-    synchronized boolean follow(EngineOrder order) {
-        if (settings.fencingChecked() && order.token().compareTo(token) < 0) {
-            note(JournalEvent.ORDER_REFUSED, order);
+    /** Executes an order; returns false if its fencing token is stale and this VM checks fencing tokens. */
+    synchronized boolean handleOrder(EngineOrder order) {
+        if (settings.fencingChecked() && order.fencingToken().compareTo(fencingToken) < 0) {
+            addJournalEntry(JournalEvent.ORDER_REFUSED, order);
             return false;
         }
-        note(JournalEvent.ORDER, order);
-        token = order.token();
+        addJournalEntry(JournalEvent.ORDER, order);
+        fencingToken = order.fencingToken();
         if (order.isJoin()) {
             join(order);
         } else if (order.group() == null || order.group().equals(group)) {
@@ -88,10 +88,10 @@
     }
 
     private void join(EngineOrder order) {
-        boolean same = order.group().equals(group)
+        boolean unchanged = order.group().equals(group)
                 && order.members().equals(members)
                 && order.modelVersion().equals(modelVersion);
-        if (same && state != EngineState.IDLE && state != EngineState.LEAVING) {
+        if (unchanged && state != EngineState.IDLE && state != EngineState.LEAVING) {
             return;
         }
         group = order.group();
@@ -99,13 +99,14 @@
         modelVersion = order.modelVersion();
         setState(EngineState.LOADING);
         cache.clear();
-        loadNumber++;
-        long number = loadNumber;
-        ScheduledFuture<?> unused = timer.schedule(() -> loaded(number), settings.loadMs(), TimeUnit.MILLISECONDS);
+        modelLoadNumber++;
+        long number = modelLoadNumber;
+        ScheduledFuture<?> unused =
+                timer.schedule(() -> onModelLoaded(number), settings.loadMs(), TimeUnit.MILLISECONDS);
     }
 
-    private synchronized void loaded(long number) {
-        if (state == EngineState.LOADING && number == loadNumber) {
+    private synchronized void onModelLoaded(long number) {
+        if (state == EngineState.LOADING && number == modelLoadNumber) {
             turnCold();
         }
     }
@@ -113,23 +114,23 @@
     private void leave() {
         setState(inFlight() == 0 ? EngineState.IDLE : EngineState.LEAVING);
         if (state == EngineState.IDLE) {
-            forgetGroup();
+            clearGroup();
         }
     }
 
-    private void forgetGroup() {
+    private void clearGroup() {
         group = null;
         members = List.of();
         modelVersion = null;
     }
 
     private void turnCold() {
-        coldAnswers = 0;
+        coldCompletions = 0;
         coldSinceNanos = System.nanoTime();
         setState(EngineState.COLD);
     }
 
-    /** Sets the fault switches. */
+    /** Sets the faults to inject. */
     synchronized void apply(Faults newFaults) {
         faults.set(newFaults);
         if (newFaults.turnCold() && state == EngineState.WARM) {
@@ -137,30 +138,31 @@
         }
     }
 
-    /** Decides about a new request. */
-    synchronized Admission admit(String attempt, Prompt prompt, int priority) {
+    /** Decides whether to admit a new request. */
+    synchronized Admission admit(String attemptId, Prompt prompt, int priority) {
         if (down) {
             return new Admission.Down();
         }
         Optional<Admission.Refused> refusal = refusal(prompt);
         if (refusal.isPresent()) {
-            note(JournalEvent.REFUSED, attempt, prompt, refusal.get().reason());
+            addJournalEntry(
+                    JournalEvent.REFUSED, attemptId, prompt, refusal.get().reason());
             return refusal.get();
         }
         boolean cold = state == EngineState.COLD;
-        int cutAt = faults.cutsShort() ? Math.max(1, prompt.maxTokens() / 2) : -1;
-        Generation generation = new Generation(this, attempt, prompt, priority, cold, cutAt);
+        int cutAtToken = faults.cutsResponseShort() ? Math.max(1, prompt.maxTokens() / 2) : -1;
+        Generation generation = new Generation(this, attemptId, prompt, priority, cold, cutAtToken);
         admitted.add(generation);
-        note(JournalEvent.STARTED, attempt, prompt, null);
-        if (cold && inFlight() > settings.coldCapacity() && pastGrace()) {
-            note(JournalEvent.FELL_OVER, attempt, prompt, null);
+        addJournalEntry(JournalEvent.STARTED, attemptId, prompt, null);
+        if (cold && inFlight() > settings.coldCapacity() && isGracePeriodOver()) {
+            addJournalEntry(JournalEvent.FELL_OVER, attemptId, prompt, null);
             fail();
             return new Admission.Down();
         }
-        return new Admission.Taken(generation);
+        return new Admission.Admitted(generation);
     }
 
-    private boolean pastGrace() {
+    private boolean isGracePeriodOver() {
         return System.nanoTime() - coldSinceNanos >= TimeUnit.MILLISECONDS.toNanos(settings.coldGraceMs());
     }
 
@@ -171,7 +173,7 @@
         if (members.isEmpty() || !members.get(0).equals(settings.vm())) {
             return Optional.of(new Admission.Refused(503, "not_first_member"));
         }
-        if (faults.refuses()) {
+        if (faults.refusesRequest()) {
             return Optional.of(new Admission.Refused(503, "fault_switch"));
         }
         if (!prompt.canContinue()) {
@@ -183,42 +185,43 @@
         return Optional.empty();
     }
 
-    /** Starts a request that was taken, or lets it wait for a free slot. */
+    /** Starts an admitted request, or queues it until a slot is free. */
     synchronized void enqueue(Generation generation) {
         if (!admitted.remove(generation)) {
             return;
         }
         waiting.add(generation);
-        startWaiting();
+        startWaitingRequests();
     }
 
-    private void startWaiting() {
+    private void startWaitingRequests() {
         while (running.size() < settings.capacity() && !waiting.isEmpty()) {
             Generation next = waiting.remove();
             running.add(next);
-            int missing = cache.use(next.prompt());
-            next.run(settings.prefillMs() * (missing + 1) + faults.current().delayMs());
+            int uncachedBlocks = cache.insert(next.prompt());
+            next.scheduleFirstToken(settings.prefillMs() * (uncachedBlocks + 1)
+                    + faults.current().delayMs());
         }
-        load.record(System.nanoTime(), running.size(), waiting.size());
+        loadReport.record(System.nanoTime(), running.size(), waiting.size());
     }
 
-    /** Takes the end of a request. */
-    synchronized void finished(Generation generation, JournalEvent outcome) {
-        note(outcome, generation.attempt(), generation.prompt(), null);
+    /** Records the end of a request and starts waiting requests in the free slots. */
+    synchronized void onGenerationEnded(Generation generation, JournalEvent outcome) {
+        addJournalEntry(outcome, generation.attemptId(), generation.prompt(), null);
         admitted.remove(generation);
         waiting.remove(generation);
         running.remove(generation);
         if (outcome == JournalEvent.COMPLETED && state == EngineState.COLD) {
-            coldAnswers++;
-            if (coldAnswers >= settings.coldRequests()) {
+            coldCompletions++;
+            if (coldCompletions >= settings.coldRequests()) {
                 setState(EngineState.WARM);
             }
         }
         if (state == EngineState.LEAVING && inFlight() == 0) {
             setState(EngineState.IDLE);
-            forgetGroup();
+            clearGroup();
         }
-        startWaiting();
+        startWaitingRequests();
     }
 
     private int inFlight() {
@@ -230,9 +233,9 @@
         return prompt.text().contains("crash-engine");
     }
 
-    /** Lets the VM fail because of a request. */
-    synchronized void crash(Generation generation) {
-        note(JournalEvent.CRASHED, generation.attempt(), generation.prompt(), null);
+    /** Makes the VM fail because of {@code generation}'s request. */
+    synchronized void crashOn(Generation generation) {
+        addJournalEntry(JournalEvent.CRASHED, generation.attemptId(), generation.prompt(), null);
         fail();
     }
 
@@ -241,35 +244,35 @@
             Runtime.getRuntime().halt(EXIT_STATUS);
         }
         down = true;
-        List<Generation> lost = new ArrayList<>(running);
-        lost.addAll(waiting);
-        lost.addAll(admitted);
+        List<Generation> lostGenerations = new ArrayList<>(running);
+        lostGenerations.addAll(waiting);
+        lostGenerations.addAll(admitted);
         running.clear();
         waiting.clear();
         admitted.clear();
         state = EngineState.IDLE;
-        forgetGroup();
-        timer.execute(() -> lost.forEach(generation -> generation.end(JournalEvent.CUT_SHORT)));
-        ScheduledFuture<?> unused = timer.schedule(this::comeBack, settings.downMs(), TimeUnit.MILLISECONDS);
+        clearGroup();
+        timer.execute(() -> lostGenerations.forEach(generation -> generation.end(JournalEvent.CUT_SHORT)));
+        ScheduledFuture<?> unused = timer.schedule(this::restart, settings.downMs(), TimeUnit.MILLISECONDS);
     }
 
-    private synchronized void comeBack() {
+    private synchronized void restart() {
         incarnation = Math.max(incarnation + 1, System.currentTimeMillis());
-        token = FencingToken.NONE;
+        fencingToken = FencingToken.NONE;
         sequence = 0;
         cache.clear();
         down = false;
         setState(EngineState.IDLE);
     }
 
-    /** Returns the next announcement; empty while the VM is silent. */
+    /** Returns the next announcement; empty while the VM is down or a fault stops its announcements. */
     synchronized Optional<Announcement> announcement() {
         if (down || faults.current().stopAnnouncing()) {
             return Optional.empty();
         }
-        LaggingLoad.Sample report = load.report(System.nanoTime());
-        List<PrefixCache.Event> events = cache.takeEvents(CACHE_EVENTS_EACH);
-        Long first = events.isEmpty() ? null : cacheSequence + 1;
+        LaggingLoadReport.Sample sample = loadReport.reportedAt(System.nanoTime());
+        List<PrefixCache.Event> events = cache.pollEvents(MAX_CACHE_EVENTS_PER_ANNOUNCEMENT);
+        Long firstCacheSequence = events.isEmpty() ? null : cacheSequence + 1;
         cacheSequence += events.size();
         sequence++;
         return Optional.of(new Announcement(
@@ -282,14 +285,14 @@
                 "engine",
                 null,
                 group,
-                token.term(),
-                token.sequence(),
+                fencingToken.term(),
+                fencingToken.sequence(),
                 modelVersion,
                 state.code(),
-                report.running(),
-                report.waiting(),
+                sample.running(),
+                sample.waiting(),
                 sequence,
-                first,
+                firstCacheSequence,
                 digests(events, true),
                 digests(events, false)));
     }
@@ -303,36 +306,37 @@
 
     private void setState(EngineState newState) {
         state = newState;
-        journal.add(entry(JournalEvent.STATE, null, null, null, null));
+        journal.add(newJournalEntry(JournalEvent.STATE, null, null, null, null));
     }
 
-    private void note(JournalEvent event, EngineOrder order) {
+    private void addJournalEntry(JournalEvent event, EngineOrder order) {
         String detail = order.order() + " " + order.group();
-        journal.add(entry(event, null, null, order.token(), detail, order.members()));
+        journal.add(newJournalEntry(event, null, null, order.fencingToken(), detail, order.members()));
     }
 
-    private void note(JournalEvent event, String attempt, Prompt prompt, String detail) {
-        journal.add(entry(event, attempt, prompt, null, detail));
+    private void addJournalEntry(JournalEvent event, String attemptId, Prompt prompt, String detail) {
+        journal.add(newJournalEntry(event, attemptId, prompt, null, detail));
     }
 
-    private JournalEntry entry(JournalEvent event, String attempt, Prompt prompt, FencingToken order, String detail) {
-        return entry(event, attempt, prompt, order, detail, members);
+    private JournalEntry newJournalEntry(
+            JournalEvent event, String attemptId, Prompt prompt, FencingToken orderToken, String detail) {
+        return newJournalEntry(event, attemptId, prompt, orderToken, detail, members);
     }
 
-    private JournalEntry entry(
+    private JournalEntry newJournalEntry(
             JournalEvent event,
-            String attempt,
+            String attemptId,
             Prompt prompt,
-            FencingToken order,
+            FencingToken orderToken,
             String detail,
             List<String> shownMembers) {
-        FencingToken shown = order == null ? token : order;
+        FencingToken shownToken = orderToken == null ? fencingToken : orderToken;
         return new JournalEntry(
                 System.nanoTime(),
                 settings.vm(),
                 incarnation,
                 event,
-                attempt,
+                attemptId,
                 prompt == null ? null : prompt.digest(),
                 prompt == null ? null : prompt.user(),
                 null,
@@ -340,8 +344,8 @@
                 shownMembers,
                 modelVersion,
                 state.code(),
-                shown.term(),
-                shown.sequence(),
+                shownToken.term(),
+                shownToken.sequence(),
                 inFlight(),
                 detail);
     }
--- a/src/main/java/org/wigeongrade/standin/EntryBalancer.java
+++ b/src/main/java/org/wigeongrade/standin/EntryBalancer.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stands in for the platform's balancer: round robin over the entry VMs that pass their health check.
+ * Simulates the platform's load balancer: round robin over the entry VMs that pass their health check.
  *
- * <p>Invariant: an entry VM whose latest health check failed is not given out. Safe for use from any thread.
+ * <p>Invariant: an entry VM whose latest health check failed is never returned. Safe for use from any thread.
  */
 public final class EntryBalancer implements AutoCloseable {
     private static final long CHECK_PERIOD_MS = 500;
@@ -33,7 +33,7 @@
     private final ScheduledExecutorService checker =
             Executors.newScheduledThreadPool(1, Threads.daemon("health-check"));
 
-    /** Starts health checks of {@code entries}, each {@code ip:port}, over {@code client}. */
+    /** Starts health checks of {@code entries}, each {@code ip:port}, with {@code client}. */
     public EntryBalancer(List<String> entries, HttpClient client) {
         this.entries = List.copyOf(entries);
         this.client = client;
@@ -55,8 +55,8 @@
         return Optional.empty();
     }
 
-    /** Takes an entry VM that refused a connection out until its next health check passes. */
-    public void reportRefused(String entry) {
+    /** Excludes an entry VM that refused a connection until its next health check passes. */
+    public void markUnhealthy(String entry) {
         unhealthy.add(entry);
     }
 
@@ -65,10 +65,11 @@
                 .timeout(CHECK_TIMEOUT)
                 .build();
         CompletableFuture<?> unused = client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
-                .whenComplete((answer, failure) -> note(entry, failure == null && answer.statusCode() == 200));
+                .whenComplete(
+                        (response, failure) -> recordCheck(entry, failure == null && response.statusCode() == 200));
     }
 
-    private void note(String entry, boolean healthy) {
+    private void recordCheck(String entry, boolean healthy) {
         if (healthy) {
             unhealthy.remove(entry);
         } else {
@@ -76,7 +77,7 @@
         }
     }
 
-    /** Returns whether {@code failure} says that no connection could be opened. */
+    /** Returns whether {@code failure} means that no connection could be opened. */
     public static boolean isRefused(Throwable failure) {
         Throwable cause = failure;
         while (cause != null) {
--- a/src/main/java/org/wigeongrade/standin/EventPublisher.java
+++ b/src/main/java/org/wigeongrade/standin/EventPublisher.java
@@ -7,9 +7,10 @@
 import org.reactivestreams.Subscription;
 
 /**
- * Hands text events to one subscriber as fast as it asks for them.
+ * Publishes text events to one subscriber, limited by its demand.
  *
- * <p>Invariant: events come in the order in which they were put; nothing follows the end. Safe for use from any thread.
+ * <p>Invariant: events are delivered in the order in which they were published; nothing follows the end. Safe for use
+ * from any thread.
  */
 final class EventPublisher implements Publisher<String>, Subscription {
     private final Deque<String> events = new ArrayDeque<>();
@@ -20,7 +21,7 @@
     private boolean closed;
     private boolean draining;
 
-    /** {@code onCancel} is called when the subscriber goes away before the end. */
+    /** Creates a publisher that calls {@code onCancel} when the subscriber cancels before the end. */
     EventPublisher(Runnable onCancel) {
         this.onCancel = onCancel;
     }
@@ -34,15 +35,15 @@
         drain();
     }
 
-    /** Adds an event. */
-    void put(String event) {
+    /** Queues an event for delivery. */
+    void publish(String event) {
         synchronized (this) {
             events.addLast(event);
         }
         drain();
     }
 
-    /** Ends the stream after the events that were put. */
+    /** Ends the stream after the events published so far. */
     void end() {
         synchronized (this) {
             ended = true;
@@ -74,13 +75,13 @@
             }
             draining = true;
         }
-        boolean more = handOne();
+        boolean more = deliverNext();
         while (more) {
-            more = handOne();
+            more = deliverNext();
         }
     }
 
-    private boolean handOne() {
+    private boolean deliverNext() {
         String event;
         synchronized (this) {
             if (closed || (events.isEmpty() && !ended) || (!events.isEmpty() && demand == 0)) {
--- a/src/main/java/org/wigeongrade/standin/Faults.java
+++ b/src/main/java/org/wigeongrade/standin/Faults.java
@@ -1,10 +1,10 @@
 package org.wigeongrade.standin;
 
 /**
- * Fault switches of a stand-in, as set by {@code POST /standin/faults}; absent ones are off.
+ * Faults that a stand-in injects, as set by {@code POST /standin/faults}; a fault that is absent there is off.
  *
- * <p>Ratios are shares of answers from 0 to 1. {@code turnCold} acts once, when it is set. Immutable; safe for use from
- * any thread.
+ * <p>Ratios are fractions of responses from 0 to 1. {@code turnCold} takes effect once, when it is set. Immutable; safe
+ * for use from any thread.
  */
 public record Faults(
         long delayMs,
--- a/src/main/java/org/wigeongrade/standin/Generation.java
+++ b/src/main/java/org/wigeongrade/standin/Generation.java
@@ -5,26 +5,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One answer that the stand-in engine generates, token after token.
+ * One response that the stand-in engine generates token by token.
  *
  * <p>Invariant: ends exactly once, with one outcome, and no token follows the end. The listener is called by one thread
- * at a time, without the engine's lock. Safe for use from any thread.
+ * at a time, without holding the engine's lock. Safe for use from any thread.
  */
 final class Generation {
     private static final long HANG_POLL_MS = 20;
 
-    /** Takes the tokens of one answer. */
+    /** Receives the tokens of one response. */
     interface Listener {
-        /** Takes the next token. */
-        void token(String text);
+        /** Receives the next token. */
+        void onToken(String text);
 
-        /** Takes the outcome; no further call follows. */
-        void ended(JournalEvent outcome);
+        /** Receives the outcome; no further call follows. */
+        void onEnd(JournalEvent outcome);
     }
 
     private final EngineVm engine;
     private final ScheduledExecutorService timer;
-    private final String attempt;
+    private final String attemptId;
     private final Prompt prompt;
     private final int priority;
     private final boolean cold;
@@ -33,11 +33,11 @@
     private int nextToken;
     private boolean ended;
 
-    /** {@code cutAtToken} is the token before which the answer is cut; negative for never. */
-    Generation(EngineVm engine, String attempt, Prompt prompt, int priority, boolean cold, int cutAtToken) {
+    /** Creates a generation that is cut short before token {@code cutAtToken}, or never if that is negative. */
+    Generation(EngineVm engine, String attemptId, Prompt prompt, int priority, boolean cold, int cutAtToken) {
         this.engine = engine;
         this.timer = engine.timer();
-        this.attempt = attempt;
+        this.attemptId = attemptId;
         this.prompt = prompt;
         this.priority = priority;
         this.cold = cold;
@@ -45,8 +45,8 @@
         this.nextToken = prompt.continueFrom().length() / AnswerText.TOKEN_CHARS;
     }
 
-    String attempt() {
-        return attempt;
+    String attemptId() {
+        return attemptId;
     }
 
     Prompt prompt() {
@@ -57,21 +57,21 @@
         return priority;
     }
 
-    /** Returns whether the engine was cold when it took the request. */
+    /** Returns whether the engine was cold when it admitted the request. */
     boolean cold() {
         return cold;
     }
 
-    /** Hands the request to the engine; {@code newListener} gets its tokens. */
-    void open(Listener newListener) {
+    /** Submits the request to the engine; {@code newListener} receives its tokens. */
+    void start(Listener newListener) {
         synchronized (this) {
             listener = newListener;
         }
         engine.enqueue(this);
     }
 
-    /** Begins to generate after {@code prefillMs}; called by the engine when a slot is free. */
-    void run(long prefillMs) {
+    /** Starts to generate after {@code prefillMs}; called by the engine when a slot is free. */
+    void scheduleFirstToken(long prefillMs) {
         schedule(prefillMs);
     }
 
@@ -85,7 +85,7 @@
             return;
         }
         if (engine.crashesOn(prompt)) {
-            engine.crash(this);
+            engine.crashOn(this);
             return;
         }
         if (nextToken == cutAtToken) {
@@ -96,38 +96,38 @@
             end(JournalEvent.COMPLETED);
             return;
         }
-        emit();
+        emitToken();
         schedule(engine.tokenMs());
     }
 
-    private synchronized void emit() {
+    private synchronized void emitToken() {
         if (ended) {
             return;
         }
         String text = AnswerText.token(prompt.model(), prompt.digest(), nextToken);
-        int sentChars = prompt.continueFrom().length() - nextToken * AnswerText.TOKEN_CHARS;
+        int alreadySentChars = prompt.continueFrom().length() - nextToken * AnswerText.TOKEN_CHARS;
         nextToken++;
-        listener.token(sentChars > 0 ? text.substring(sentChars) : text);
+        listener.onToken(alreadySentChars > 0 ? text.substring(alreadySentChars) : text);
     }
 
-    /** Ends the answer because its connection was closed. */
+    /** Ends the response because its connection was closed. */
     void cancel() {
         end(JournalEvent.CANCELLED);
     }
 
-    /** Ends the answer with {@code outcome} unless it has ended already. */
+    /** Ends the response with {@code outcome} unless it has already ended. */
     void end(JournalEvent outcome) {
-        Listener told;
+        Listener listenerToNotify;
         synchronized (this) {
             if (ended) {
                 return;
             }
             ended = true;
-            told = listener;
+            listenerToNotify = listener;
         }
-        engine.finished(this, outcome);
-        if (told != null) {
-            told.ended(outcome);
+        engine.onGenerationEnded(this, outcome);
+        if (listenerToNotify != null) {
+            listenerToNotify.onEnd(outcome);
         }
     }
 
--- a/src/main/java/org/wigeongrade/standin/Journal.java
+++ b/src/main/java/org/wigeongrade/standin/Journal.java
@@ -14,13 +14,14 @@
 import java.util.Optional;
 
 /**
- * What a stand-in did, as JSON lines: the latest {@value #LINES_KEPT} in memory, all of them in the file if there is one.
+ * Record of what a stand-in did, as JSON lines. The latest {@value #MAX_LINES_IN_MEMORY} lines are kept in memory, all
+ * lines in the file if there is one.
  *
  * <p>Invariant: an entry is in the file before {@link #add} returns, so it survives a kill of the process. Safe for use
  * from any thread.
  */
 public final class Journal implements AutoCloseable {
-    private static final int LINES_KEPT = 50_000;
+    private static final int MAX_LINES_IN_MEMORY = 50_000;
 
     private final Deque<String> lines = new ArrayDeque<>();
     private final Optional<FileChannel> file;
@@ -40,11 +41,11 @@
             return new Journal(
                     Optional.of(FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.APPEND)));
         } catch (IOException e) {
-            throw new UncheckedIOException("journal " + path + " cannot be opened; give a writable file", e);
+            throw new UncheckedIOException("journal " + path + " cannot be opened; specify a writable file", e);
         }
     }
 
-    /** Reads the whole lines of a journal file. A torn last line is left out. */
+    /** Reads a journal file. Skips an incomplete last line, which a killed process may leave. */
     public static List<JournalEntry> read(Path path) {
         try {
             return Files.readAllLines(path).stream()
@@ -60,7 +61,7 @@
         try {
             return StandinJson.MAPPER.readValue(line, JournalEntry.class);
         } catch (IOException e) {
-            throw new UncheckedIOException("journal line '" + line + "' cannot be read", e);
+            throw new UncheckedIOException("journal line '" + line + "' cannot be parsed", e);
         }
     }
 
@@ -69,7 +70,7 @@
         String line = StandinJson.write(entry);
         file.ifPresent(channel -> append(channel, line));
         lines.addLast(line);
-        if (lines.size() > LINES_KEPT) {
+        if (lines.size() > MAX_LINES_IN_MEMORY) {
             lines.removeFirst();
         }
     }
@@ -85,8 +86,8 @@
         }
     }
 
-    /** Returns the kept lines, one entry each, oldest first. */
-    public synchronized String text() {
+    /** Returns the lines in memory, one entry each, oldest first. */
+    public synchronized String toJsonLines() {
         return lines.isEmpty() ? "" : String.join("\n", lines) + '\n';
     }
 
--- a/src/main/java/org/wigeongrade/standin/JournalEvent.java
+++ b/src/main/java/org/wigeongrade/standin/JournalEvent.java
@@ -3,34 +3,34 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Locale;
 
-/** What a stand-in writes into its journal. */
+/** Kind of event that a stand-in writes to its journal. */
 public enum JournalEvent {
-    /** An order was taken. */
+    /** An order was accepted. */
     ORDER,
-    /** An order with an old fencing token was refused. */
+    /** An order with a stale fencing token was refused. */
     ORDER_REFUSED,
     /** The state of the VM changed. */
     STATE,
-    /** A request was taken; it may run from here on. */
+    /** A request was admitted; it may run from here on. */
     STARTED,
     /** A request was refused before any of it ran. */
     REFUSED,
     /** A non-idempotent call was executed. */
     EXECUTED,
-    /** A whole answer was handed to the connection. */
+    /** A complete response was handed to the connection. */
     COMPLETED,
-    /** The connection was closed before the answer was whole. */
+    /** The connection was closed before the response was complete. */
     CANCELLED,
-    /** A fault switch cut the answer short. */
+    /** The response was cut short by an injected fault or by the failure of its VM. */
     CUT_SHORT,
-    /** A fault switch dropped the answer after the request ran. */
+    /** An injected fault dropped the response after the request ran. */
     DROPPED,
     /** A request crashed the VM. */
     CRASHED,
-    /** The VM received more load than it bears in a cold start and failed. */
+    /** The VM received more load than its cold capacity and failed. */
     FELL_OVER;
 
-    /** Returns the name as it stands in the journal. */
+    /** Returns the name that is written to the journal. */
     @JsonValue
     public String code() {
         return name().toLowerCase(Locale.ROOT);
--- a/src/main/java/org/wigeongrade/standin/PrefixCache.java
+++ b/src/main/java/org/wigeongrade/standin/PrefixCache.java
@@ -10,7 +10,7 @@
 
 /**
  * The stand-in engine's prompt prefix cache: digests of prefixes whose length is a multiple of {@value #BLOCK_CHARS}
- * characters of the prompt's JSON text, least recently used out first.
+ * characters of the prompt's JSON text. Evicts the least recently used digest first.
  *
  * <p>Invariant: holds at most {@code maxBlocks} digests. Not safe for concurrent use; the engine's lock guards it.
  */
@@ -21,7 +21,7 @@
     private static final int MAX_BLOCKS = 32;
     private static final int DIGEST_CHARS = 16;
 
-    /** One change of the cache. */
+    /** One change of the cache: a digest that was added or removed. */
     record Event(boolean added, String digest) {}
 
     private final int maxBlocks;
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Returns the digests of the prompt's prefixes of 1, 2, ... whole blocks, {@value #MAX_BLOCKS} at most. Each is the
-     * hash of the digest before it and the block's text; the model's hash comes first.
+     * Returns the digests of the prompt's prefixes of 1, 2, ... complete blocks, at most {@value #MAX_BLOCKS}. Each is
+     * a hash of the previous hash and the block's text; the chain starts with the hash of the model.
      */
     public static List<String> blockDigests(Prompt prompt) {
         String json = prompt.promptJson();
@@ -52,19 +52,19 @@
         return Hashing.sha256().hashString(text, StandardCharsets.UTF_8).toString();
     }
 
-    /** Takes a prompt into the cache and returns the number of its blocks that were not cached. */
-    int use(Prompt prompt) {
-        int missing = 0;
+    /** Inserts the blocks of a prompt into the cache and returns how many of them were not cached before. */
+    int insert(Prompt prompt) {
+        int uncachedBlocks = 0;
         for (String digest : blockDigests(prompt)) {
-            boolean known = blocks.remove(digest);
+            boolean cached = blocks.remove(digest);
             blocks.add(digest);
-            if (!known) {
-                missing++;
+            if (!cached) {
+                uncachedBlocks++;
                 events.addLast(new Event(true, digest));
             }
         }
         evict();
-        return missing;
+        return uncachedBlocks;
     }
 
     private void evict() {
@@ -76,20 +76,20 @@
     }
 
     /**
-     * Takes up to {@code max} events that were not yet published: additions first, then removals, as an announcement
-     * lists them.
+     * Takes up to {@code maxEvents} events that were not yet announced: additions first, then removals, as an
+     * announcement lists them.
      */
-    List<Event> takeEvents(int max) {
-        List<Event> taken = new ArrayList<>();
+    List<Event> pollEvents(int maxEvents) {
+        List<Event> polled = new ArrayList<>();
         boolean removing = false;
-        while (taken.size() < max && !events.isEmpty()) {
+        while (polled.size() < maxEvents && !events.isEmpty()) {
             if (removing && events.getFirst().added()) {
-                return taken;
+                return polled;
             }
             removing = !events.getFirst().added();
-            taken.add(events.removeFirst());
+            polled.add(events.removeFirst());
         }
-        return taken;
+        return polled;
     }
 
     void clear() {
--- a/src/main/java/org/wigeongrade/standin/Prompt.java
+++ b/src/main/java/org/wigeongrade/standin/Prompt.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * What the stand-in engine reads from a request body: who asks for what, and how many tokens.
+ * The fields of a request body that the stand-in engine uses.
  *
  * <p>Invariant: {@code digest} is {@link AnswerText#digest} of {@code text}; {@code promptJson} is the prompt as it
- * stands in the body. Immutable; safe for use from any thread.
+ * appears in the body. Immutable; safe for use from any thread.
  */
 public record Prompt(
         String model,
@@ -18,10 +18,10 @@
         boolean stream,
         String continueFrom,
         String user) {
-    /** Tokens generated if the body does not say {@code max_tokens}. */
+    /** Number of tokens generated if the body has no {@code max_tokens}. */
     public static final int DEFAULT_TOKENS = 16;
 
-    /** Reads a chat or completion body; empty if it holds neither messages nor a prompt. */
+    /** Reads a chat or completion body; empty if it contains neither messages nor a prompt. */
     public static Optional<Prompt> of(JsonNode body) {
         String text = promptText(body);
         if (text.isEmpty()) {
@@ -52,13 +52,13 @@
         return text.toString();
     }
 
-    /** Returns the whole text of the answer, the part already sent included. */
-    public String wholeAnswer() {
+    /** Returns the full text of the response, including the part already sent. */
+    public String fullResponse() {
         return AnswerText.whole(model, digest, maxTokens);
     }
 
-    /** Returns whether the answer can go on after the text that was already sent. */
+    /** Returns whether the text already sent is a prefix of the response, so that the response can be continued. */
     public boolean canContinue() {
-        return wholeAnswer().startsWith(continueFrom);
+        return fullResponse().startsWith(continueFrom);
     }
 }
--- a/src/main/java/org/wigeongrade/standin/AnswerForm.java
+++ b/src/main/java/org/wigeongrade/standin/ResponseFormat.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** The JSON form of an answer, by the path that was asked. */
-enum AnswerForm {
+/** The JSON format of a response, which depends on the request's path. */
+enum ResponseFormat {
     CHAT("chat.completion"),
     COMPLETION("text_completion");
 
     private final String object;
 
-    AnswerForm(String object) {
+    ResponseFormat(String object) {
         this.object = object;
     }
 
-    /** Returns one event of a streamed answer; {@code finishReason} is null before the end. */
-    Map<String, Object> streamed(String id, String text, String finishReason) {
+    /** Returns one event of a streamed response; {@code finishReason} is null in all events but the last. */
+    Map<String, Object> streamEvent(String id, String text, String finishReason) {
         ObjectNode choice = StandinJson.MAPPER.createObjectNode();
         choice.put("index", 0);
         switch (this) {
@@ -28,8 +28,8 @@
         return Map.of("id", id, "object", object + (this == CHAT ? ".chunk" : ""), "choices", List.of(choice));
     }
 
-    /** Returns a whole answer. */
-    Map<String, Object> whole(String id, String model, String text, int promptTokens, int tokens) {
+    /** Returns the body of a response that is not streamed. */
+    Map<String, Object> fullBody(String id, String model, String text, int promptTokens, int tokens) {
         Map<String, Object> choice = new HashMap<>();
         choice.put("index", 0);
         choice.put("finish_reason", "length");
--- a/src/main/java/org/wigeongrade/standin/ServiceStandin.java
+++ b/src/main/java/org/wigeongrade/standin/ServiceStandin.java
@@ -14,7 +14,7 @@
 import ratpack.handling.Context;
 
 /**
- * Stands in for a plain service such as a ledger: one or several VMs in this process.
+ * Simulates a plain service such as a ledger: one or several VMs in this process.
  *
  * <p>Safe for use from any thread.
  */
@@ -30,7 +30,7 @@
         this.balancer = new EntryBalancer(options.entryAddresses(), client);
     }
 
-    /** Starts the VMs that {@code options} name. */
+    /** Starts the VMs named in {@code options}. */
     public static ServiceStandin start(Options options) throws Exception {
         ServiceStandin standin = new ServiceStandin(options);
         for (int i = 0; i < options.vmNames().size(); i++) {
@@ -48,17 +48,17 @@
     }
 
     private static void addTo(Chain chain, ServiceVm vm) throws Exception {
-        chain.get("standin/journal", ctx -> ctx.render(vm.journal().text()));
+        chain.get("standin/journal", ctx -> ctx.render(vm.journal().toJsonLines()));
         chain.post(
                 "standin/faults",
                 ctx -> ctx.getRequest().getBody().then(body -> {
                     vm.apply(StandinJson.MAPPER.readValue(body.getText(), Faults.class));
                     ctx.render("");
                 }));
-        chain.all(ctx -> ctx.getRequest().getBody().then(body -> serve(ctx, vm, body.getText())));
+        chain.all(ctx -> ctx.getRequest().getBody().then(body -> handleCall(ctx, vm, body.getText())));
     }
 
-    private static void serve(Context ctx, ServiceVm vm, String body) {
+    private static void handleCall(Context ctx, ServiceVm vm, String body) {
         ServiceVm.Call call = new ServiceVm.Call(
                 StandinServer.header(ctx, "X-Request-Id", ""),
                 ctx.getRequest().getMethod().getName(),
@@ -66,48 +66,48 @@
                 StandinServer.header(ctx, "Idempotency-Key", null),
                 body);
         boolean cold = vm.isCold();
-        if (!vm.take(call)) {
+        if (!vm.admit(call)) {
             StandinServer.sendRefusal(ctx, 503, "fault_switch");
             return;
         }
-        Execution.sleep(Duration.ofNanos(vm.workNanos()), () -> answer(ctx, vm, call, cold));
+        Execution.sleep(Duration.ofNanos(vm.workNanos()), () -> execute(ctx, vm, call, cold));
     }
 
-    private static void answer(Context ctx, ServiceVm vm, ServiceVm.Call call, boolean cold) {
+    private static void execute(Context ctx, ServiceVm vm, ServiceVm.Call call, boolean cold) {
         long executed = vm.execute(call);
         if (vm.faults().current().hang()) {
-            Execution.sleep(Duration.ofMillis(20), () -> waitForHang(ctx, vm, call, cold, executed));
+            Execution.sleep(Duration.ofMillis(20), () -> waitWhileHanging(ctx, vm, call, cold, executed));
             return;
         }
-        reply(ctx, vm, call, cold, executed);
+        respond(ctx, vm, call, cold, executed);
     }
 
-    private static void waitForHang(Context ctx, ServiceVm vm, ServiceVm.Call call, boolean cold, long executed) {
+    private static void waitWhileHanging(Context ctx, ServiceVm vm, ServiceVm.Call call, boolean cold, long executed) {
         if (vm.faults().current().hang()) {
-            Execution.sleep(Duration.ofMillis(20), () -> waitForHang(ctx, vm, call, cold, executed));
+            Execution.sleep(Duration.ofMillis(20), () -> waitWhileHanging(ctx, vm, call, cold, executed));
             return;
         }
-        reply(ctx, vm, call, cold, executed);
+        respond(ctx, vm, call, cold, executed);
     }
 
-    private static void reply(Context ctx, ServiceVm vm, ServiceVm.Call call, boolean cold, long executed) {
-        if (vm.faults().dropsAnswer()) {
+    private static void respond(Context ctx, ServiceVm vm, ServiceVm.Call call, boolean cold, long executed) {
+        if (vm.faults().dropsResponse()) {
             vm.finish(call, JournalEvent.DROPPED);
-            StandinServer.cutConnection(ctx);
+            StandinServer.closeConnection(ctx);
             return;
         }
         vm.finish(call, JournalEvent.COMPLETED);
-        String id = vm.faults().givesWrongId() ? "attempt-of-another-request" : call.attempt();
-        ctx.getResponse().getHeaders().set("X-Request-Id", id);
+        String attemptId = vm.faults().usesWrongAttemptId() ? "attempt-of-another-request" : call.attemptId();
+        ctx.getResponse().getHeaders().set("X-Request-Id", attemptId);
         if (cold) {
             ctx.getResponse().getHeaders().set("X-Endpoint-State", "cold");
         }
-        Map<String, Object> answer = new HashMap<>();
-        answer.put("executed", executed);
-        answer.put("method", call.method());
-        answer.put("path", call.path());
-        answer.put("digest", call.digest());
-        StandinServer.sendJson(ctx, 200, answer);
+        Map<String, Object> response = new HashMap<>();
+        response.put("executed", executed);
+        response.put("method", call.method());
+        response.put("path", call.path());
+        response.put("digest", call.digest());
+        StandinServer.sendJson(ctx, 200, response);
     }
 
     @Override
@@ -121,27 +121,27 @@
     }
 
     /** Command line options of the service stand-in. Not safe for concurrent use. */
-    public static final class Options extends HostOptions implements StandinCommand {
+    public static final class Options extends EndpointOptions implements StandinCommand {
         @Option(name = "--service", usage = "name of the service")
         private String service = "ledger";
 
-        @Option(name = "--cold-capacity", usage = "calls that it bears in flight when cold")
+        @Option(name = "--cold-capacity", usage = "calls in flight above which a cold VM fails")
         private int coldCapacity = 2;
 
-        @Option(name = "--cold-requests", usage = "answered calls after which it is warm; 0 starts warm")
+        @Option(name = "--cold-requests", usage = "completed calls after which a cold VM becomes warm; 0 starts warm")
         private int coldRequests = 0;
 
-        @Option(name = "--work-ms", usage = "time that a call runs, in milliseconds")
+        @Option(name = "--work-ms", usage = "execution time of a call, in milliseconds")
         private long workMs = 2;
 
-        @Option(name = "--drop-answers-ratio", usage = "share of answers that are dropped after the call ran")
+        @Option(name = "--drop-answers-ratio", usage = "fraction of responses that are dropped after the call ran")
         private double dropAnswersRatio = 0;
 
         private ServiceVm.Settings settings(int index) {
             return new ServiceVm.Settings(
                     vmNames().get(index),
                     addresses().get(index),
-                    dealt(zone, index),
+                    valueForVm(zone, index),
                     service,
                     coldCapacity,
                     coldRequests,
--- a/src/main/java/org/wigeongrade/standin/ServiceVm.java
+++ b/src/main/java/org/wigeongrade/standin/ServiceVm.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * State of one stand-in plain service VM. Its journal has an entry for each executed non-idempotent call, written before
- * the call is answered. One lock, this object, guards the counts. Safe for use from any thread.
+ * State of one stand-in VM of a plain service. Its journal has an entry for each executed non-idempotent call, written
+ * before the response is sent. The counts are guarded by the lock of this object. Safe for use from any thread.
  */
 final class ServiceVm {
     private static final int EXIT_STATUS = 70;
 
-    /** How the VM behaves. */
+    /** Settings of the VM. */
     record Settings(
             String vm,
             String address,
@@ -22,8 +22,8 @@
             long workMs,
             long seed) {}
 
-    /** A call that was taken. */
-    record Call(String attempt, String method, String path, String key, String body) {
+    /** A call to the service. */
+    record Call(String attemptId, String method, String path, String idempotencyKey, String body) {
         boolean isIdempotent() {
             return method.equals("GET") || method.equals("HEAD");
         }
@@ -35,22 +35,22 @@
 
     private final Settings settings;
     private final Journal journal;
-    private final FaultSwitches faults;
+    private final FaultInjector faults;
     private final long incarnation = System.currentTimeMillis();
     private int inFlight;
     private boolean cold;
-    private int coldAnswers;
+    private int coldCompletions;
     private long executed;
     private long sequence;
 
     ServiceVm(Settings settings, Journal journal) {
         this.settings = settings;
         this.journal = journal;
-        this.faults = new FaultSwitches(settings.seed());
+        this.faults = new FaultInjector(settings.seed());
         this.cold = settings.coldRequests() > 0;
     }
 
-    FaultSwitches faults() {
+    FaultInjector faults() {
         return faults;
     }
 
@@ -71,44 +71,44 @@
         faults.set(newFaults);
         if (newFaults.turnCold()) {
             cold = true;
-            coldAnswers = 0;
+            coldCompletions = 0;
         }
     }
 
-    /** Takes a call, or refuses it before any of it runs. */
-    synchronized boolean take(Call call) {
-        if (faults.refuses()) {
-            note(JournalEvent.REFUSED, call);
+    /** Admits a call and returns true, or returns false if it is refused before any of it runs. */
+    synchronized boolean admit(Call call) {
+        if (faults.refusesRequest()) {
+            addJournalEntry(JournalEvent.REFUSED, call);
             return false;
         }
         inFlight++;
-        note(JournalEvent.STARTED, call);
+        addJournalEntry(JournalEvent.STARTED, call);
         if (cold && inFlight > settings.coldCapacity()) {
-            note(JournalEvent.FELL_OVER, call);
+            addJournalEntry(JournalEvent.FELL_OVER, call);
             Runtime.getRuntime().halt(EXIT_STATUS);
         }
         if (call.body().contains("crash-engine")) {
-            note(JournalEvent.CRASHED, call);
+            addJournalEntry(JournalEvent.CRASHED, call);
             Runtime.getRuntime().halt(EXIT_STATUS);
         }
         return true;
     }
 
-    /** Executes the call and returns the number of non-idempotent calls that were executed so far. */
+    /** Executes the call and returns the number of non-idempotent calls executed so far. */
     synchronized long execute(Call call) {
         if (!call.isIdempotent()) {
             executed++;
-            note(JournalEvent.EXECUTED, call);
+            addJournalEntry(JournalEvent.EXECUTED, call);
         }
         return executed;
     }
 
-    /** Takes the end of a call. */
+    /** Records the end of a call. */
     synchronized void finish(Call call, JournalEvent outcome) {
-        note(outcome, call);
+        addJournalEntry(outcome, call);
         inFlight--;
-        coldAnswers++;
-        cold = cold && coldAnswers < settings.coldRequests();
+        coldCompletions++;
+        cold = cold && coldCompletions < settings.coldRequests();
     }
 
     synchronized Optional<Announcement> announcement() {
@@ -138,16 +138,16 @@
                 null));
     }
 
-    private void note(JournalEvent event, Call call) {
+    private void addJournalEntry(JournalEvent event, Call call) {
         journal.add(new JournalEntry(
                 System.nanoTime(),
                 settings.vm(),
                 incarnation,
                 event,
-                call.attempt(),
+                call.attemptId(),
                 call.digest(),
                 operation(call.body()),
-                call.key(),
+                call.idempotencyKey(),
                 null,
                 List.of(),
                 null,
--- a/src/main/java/org/wigeongrade/standin/StandinJson.java
+++ b/src/main/java/org/wigeongrade/standin/StandinJson.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.PropertyNamingStrategies;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
-/** JSON form of the endpoint protocol: snake_case names, absent fields left out. Safe for use from any thread. */
+/** JSON encoding of the endpoint protocol: snake_case names, null fields omitted. Safe for use from any thread. */
 public final class StandinJson {
     /** Reads and writes the messages of the endpoint protocol. */
     public static final ObjectMapper MAPPER = JsonMapper.builder()
@@ -18,13 +18,13 @@
 
     private StandinJson() {}
 
-    /** Returns {@code value} as one line of JSON; throws {@link IllegalStateException} if it has no JSON form. */
+    /** Returns {@code value} as one line of JSON; throws {@link IllegalStateException} if it cannot be encoded. */
     public static String write(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(
-                    "value of " + value.getClass() + " has no JSON form; use records of plain fields", e);
+                    "value of " + value.getClass() + " cannot be encoded as JSON; use records of plain fields", e);
         }
     }
 }
--- a/src/main/java/org/wigeongrade/standin/StandinMain.java
+++ b/src/main/java/org/wigeongrade/standin/StandinMain.java
@@ -12,7 +12,7 @@
 
     public static void main(String[] args) throws Exception {
         if (args.length == 0) {
-            System.err.println("name the stand-in: engine, service or weightstore");
+            System.err.println("first argument is missing; specify the stand-in: engine, service or weightstore");
             System.exit(USAGE_STATUS);
         }
         StandinCommand command = command(args[0]);
@@ -27,7 +27,10 @@
         command.run();
     }
 
-    /** Returns the unparsed options of a stand-in; throws {@link IllegalArgumentException} for an unknown name. */
+    /**
+     * Returns the options of a stand-in with their defaults; throws {@link IllegalArgumentException} for an unknown
+     * name.
+     */
     public static StandinCommand command(String name) {
         return switch (name) {
             case "engine" -> new EngineStandin.Options();
--- a/src/main/java/org/wigeongrade/standin/StandinServer.java
+++ b/src/main/java/org/wigeongrade/standin/StandinServer.java
@@ -12,7 +12,7 @@
 import ratpack.server.RatpackServer;
 import ratpack.server.ServerConfigBuilder;
 
-/** An HTTP server of a stand-in with a bounded number of threads. Safe for use from any thread. */
+/** HTTP server of a stand-in with a bounded number of threads. Safe for use from any thread. */
 final class StandinServer implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
     private static final Duration IDLE_TIMEOUT = Duration.ofMinutes(2);
@@ -43,12 +43,12 @@
         config.registerShutdownHook(false);
     }
 
-    /** Closes the connection that carries the request at once, whatever was answered. */
-    static void cutConnection(Context ctx) {
+    /** Closes the connection of the request immediately, even if part of the response was sent. */
+    static void closeConnection(Context ctx) {
         ChannelFuture unused = channel(ctx).close();
     }
 
-    /** Calls {@code action} if the connection closes before the request has its whole answer. */
+    /** Calls {@code action} if the connection closes before the response is complete. */
     static void whenConnectionCloses(Context ctx, Runnable action) {
         ChannelFuture closeFuture = channel(ctx).closeFuture();
         ChannelFutureListener closed = future -> action.run();
@@ -64,18 +64,18 @@
         return ctx.getDirectChannelAccess().getChannel();
     }
 
-    /** Returns a header of the request, or {@code absent} if there is none. */
-    static String header(Context ctx, String name, String absent) {
+    /** Returns a header of the request, or {@code defaultValue} if it is absent. */
+    static String header(Context ctx, String name, String defaultValue) {
         String value = ctx.getRequest().getHeaders().get(name);
-        return value == null ? absent : value;
+        return value == null ? defaultValue : value;
     }
 
-    /** Sends a JSON answer. */
+    /** Sends a JSON response. */
     static void sendJson(Context ctx, int status, Object message) {
         ctx.getResponse().status(status).send("application/json", StandinJson.write(message));
     }
 
-    /** Sends a refusal that says that nothing of the request ran. */
+    /** Sends a refusal whose header states that no part of the request ran. */
     static void sendRefusal(Context ctx, int status, String reason) {
         ctx.getResponse().getHeaders().set("X-Request-Not-Run", "true");
         String id = header(ctx, "X-Request-Id", "");
--- a/src/main/java/org/wigeongrade/standin/Threads.java
+++ b/src/main/java/org/wigeongrade/standin/Threads.java
@@ -7,7 +7,7 @@
 final class Threads {
     private Threads() {}
 
-    /** Returns a factory of named daemon threads. */
+    /** Returns a factory of daemon threads that are named {@code name} and a number. */
     static ThreadFactory daemon(String name) {
         AtomicInteger count = new AtomicInteger();
         return task -> {
--- a/src/main/java/org/wigeongrade/standin/WeightStoreStandin.java
+++ b/src/main/java/org/wigeongrade/standin/WeightStoreStandin.java
@@ -4,7 +4,7 @@
 import org.kohsuke.args4j.Option;
 import ratpack.handling.Context;
 
-/** Stands in for the rate-limited weight store. Safe for use from any thread. */
+/** Simulates the rate-limited weight store. Safe for use from any thread. */
 public final class WeightStoreStandin implements AutoCloseable {
     private static final int RETRY_AFTER_SECONDS = 1;
 
@@ -14,7 +14,7 @@
         this.server = server;
     }
 
-    /** Starts the store. */
+    /** Starts the weight store. */
     public static WeightStoreStandin start(Options options) throws Exception {
         RateLimiter limiter = RateLimiter.create(options.readsPerSecond);
         String weights = "0".repeat(options.bytes);
@@ -41,7 +41,7 @@
         @Option(name = "--listen", usage = "ip:port", required = true)
         private String listen = "";
 
-        @Option(name = "--reads-per-second", usage = "reads that it answers in a second")
+        @Option(name = "--reads-per-second", usage = "reads served per second; others get status 429")
         private double readsPerSecond = 10;
 
         @Option(name = "--bytes", usage = "size of each weight file in bytes")
--- a/src/main/java/org/wigeongrade/standin/package-info.java
+++ b/src/main/java/org/wigeongrade/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins for the outside systems: model engine, plain service and weight store. For tests and measurements. */
+/** Stand-ins that simulate external systems in tests and measurements: model engine, service and weight store. */
 package org.wigeongrade.standin;
--- a/src/test/java/org/wigeongrade/proof/AtMostOnceProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/AtMostOnceProcessTest.java
@@ -11,58 +11,62 @@
 import org.wigeongrade.standin.JournalEntry;
 
 /**
- * Non-idempotent calls while half of the service's answers are dropped and entry VMs are killed, frozen and restarted;
- * callers resend with the same key to other entry VMs.
+ * Sends non-idempotent calls while half of the service's responses are dropped and entry VMs are killed, frozen and
+ * restarted; clients retry with the same idempotency key at other entry VMs.
  */
 @Tag("process")
 final class AtMostOnceProcessTest {
-    private static final int MIN_KNOWN_DONE = 20;
+    private static final int MIN_COMPLETED_CHARGES = 20;
 
     @TempDir
     Path folder;
 
     @Test
-    void runsEachCallAtMostOnceAndTellsTheTruth() throws Exception {
+    void runsEachCallAtMostOnceAndReportsItsOutcomeCorrectly() throws Exception {
         try (ProcessFleet fleet = ProcessFleet.start(folder, 3, 0);
                 HistoryRecorder recorder = new HistoryRecorder(folder.resolve("history.jsonl"))) {
-            fleet.services("ledger-1", "--drop-answers-ratio", "0.5", "--work-ms", "20", "--seed", "11");
-            fleet.services("ledger-2", "--drop-answers-ratio", "0.5", "--work-ms", "20", "--seed", "12");
-            long unused = fleet.apply(Operators.basics() + Operators.service("ledger"), 0, "change-1");
-            try (Callers callers = new Callers(fleet.entries(), recorder)) {
-                callers.startCharging(6);
-                callers.startChargingOnce(2);
-                disturb(fleet, recorder);
+            fleet.startServices("ledger-1", "--drop-answers-ratio", "0.5", "--work-ms", "20", "--seed", "11");
+            fleet.startServices("ledger-2", "--drop-answers-ratio", "0.5", "--work-ms", "20", "--seed", "12");
+            long unused = fleet.apply(DeclaredSetToml.base() + DeclaredSetToml.service("ledger"), 0, "change-1");
+            try (ClientThreads clients = new ClientThreads(fleet.entryAddresses(), recorder)) {
+                clients.startChargeClients(6);
+                clients.startChargeOnceClients(2);
+                injectFaults(fleet, recorder);
             }
 
             List<JournalEntry> journal = fleet.journal();
             List<HistoryEvent> history = recorder.history();
-            assertThat(ExecutedTwice.check(journal)).isEmpty();
-            for (String function : List.of(Callers.CHARGE, Callers.CHARGE_ONCE)) {
-                assertThat(OkWithoutExecution.check(function, history, journal)).isEmpty();
-                assertThat(FalseNotRun.check(function, history, journal)).isEmpty();
+            assertThat(ExecutedTwiceChecker.check(journal)).isEmpty();
+            for (String function : List.of(ClientThreads.CHARGE, ClientThreads.CHARGE_ONCE)) {
+                assertThat(OkWithoutExecutionChecker.check(function, history, journal))
+                        .isEmpty();
+                assertThat(FalseNotRunChecker.check(function, history, journal)).isEmpty();
             }
-            assertWithMessage(fleet.outputs())
-                    .that(Histories.count(history, Callers.CHARGE, Phase.OK))
-                    .isAtLeast(MIN_KNOWN_DONE);
+            assertWithMessage(fleet.recentOutputs())
+                    .that(Histories.count(history, ClientThreads.CHARGE, Phase.OK))
+                    .isAtLeast(MIN_COMPLETED_CHARGES);
         }
     }
 
-    private static void disturb(ProcessFleet fleet, HistoryRecorder recorder) {
-        Await.until("a charge done", 10_000, () -> Histories.count(recorder.history(), Callers.CHARGE, Phase.OK) > 0);
+    private static void injectFaults(ProcessFleet fleet, HistoryRecorder recorder) {
+        Await.until(
+                "a completed charge",
+                10_000,
+                () -> Histories.count(recorder.history(), ClientThreads.CHARGE, Phase.OK) > 0);
         Await.sleepMs(1_000);
         fleet.process("entry-2").kill();
-        recorder.note("kill", "entry-2");
+        recorder.recordAction("kill", "entry-2");
         Await.sleepMs(2_000);
         fleet.process("entry-2").restart();
         Await.sleepMs(1_500);
         fleet.process("entry-1").freeze();
-        recorder.note("freeze", "entry-1");
+        recorder.recordAction("freeze", "entry-1");
         Await.sleepMs(4_000);
         fleet.process("entry-1").thaw();
-        recorder.note("thaw", "entry-1");
+        recorder.recordAction("thaw", "entry-1");
         Await.sleepMs(1_500);
         fleet.process("entry-3").kill();
-        recorder.note("kill", "entry-3");
+        recorder.recordAction("kill", "entry-3");
         Await.sleepMs(2_500);
         fleet.process("entry-3").restart();
         Await.sleepMs(2_000);
--- a/src/test/java/org/wigeongrade/proof/CheckersTest.java
+++ b/src/test/java/org/wigeongrade/proof/CheckersTest.java
@@ -12,49 +12,49 @@
 import org.wigeongrade.standin.JournalEntry;
 import org.wigeongrade.standin.JournalEvent;
 
-/** Each checker finds the breach in a bad history and nothing in a good one beside it. */
+/** Verifies that each checker reports a violation in a bad history and none in a similar good one. */
 final class CheckersTest {
     private final List<JournalEntry> journal = new ArrayList<>();
     private final List<HistoryEvent> history = new ArrayList<>();
-    private long calls;
+    private long callCount;
 
     @ParameterizedTest(name = "executed {0} times: {1} violations")
     @CsvSource({"0, 0", "1, 0", "2, 1", "3, 1"})
-    void executedTwice(int executions, int violations) {
+    void findsOperationsExecutedTwice(int executions, int violations) {
         for (int i = 0; i < executions; i++) {
-            service(i, JournalEvent.EXECUTED, "op-1");
+            addServiceEntry(i, JournalEvent.EXECUTED, "op-1");
         }
-        service(9, JournalEvent.EXECUTED, "op-2");
+        addServiceEntry(9, JournalEvent.EXECUTED, "op-2");
 
-        assertThat(ExecutedTwice.check(journal)).hasSize(violations);
+        assertThat(ExecutedTwiceChecker.check(journal)).hasSize(violations);
     }
 
-    @ParameterizedTest(name = "told {0}, executed {1}: {2} violations")
+    @ParameterizedTest(name = "reported {0}, executed {1}: {2} violations")
     @CsvSource({"OK, false, 1", "OK, true, 0", "UNKNOWN, false, 0", "FAIL, false, 0"})
-    void okWithoutExecution(Phase told, boolean executed, int violations) {
-        call("charge", "op-1", told, 1, 2);
+    void findsOkWithoutExecution(Phase reported, boolean executed, int violations) {
+        addCall("charge", "op-1", reported, 1, 2);
         if (executed) {
-            service(1, JournalEvent.EXECUTED, "op-1");
+            addServiceEntry(1, JournalEvent.EXECUTED, "op-1");
         }
 
-        assertThat(OkWithoutExecution.check("charge", history, journal)).hasSize(violations);
+        assertThat(OkWithoutExecutionChecker.check("charge", history, journal)).hasSize(violations);
     }
 
-    @ParameterizedTest(name = "told {0} then {1}, started {2}: {3} violations")
+    @ParameterizedTest(name = "reported {0} then {1}, started {2}: {3} violations")
     @CsvSource({
         "FAIL, FAIL, true, 1",
         "FAIL, FAIL, false, 0",
         "UNKNOWN, FAIL, true, 0",
         "FAIL, OK, true, 0",
     })
-    void falseNotRun(Phase first, Phase second, boolean started, int violations) {
-        call("charge", "op-1", first, 1, 2);
-        call("charge", "op-1", second, 3, 4);
+    void findsFalseNotRun(Phase first, Phase second, boolean started, int violations) {
+        addCall("charge", "op-1", first, 1, 2);
+        addCall("charge", "op-1", second, 3, 4);
         if (started) {
-            service(1, JournalEvent.STARTED, "op-1");
+            addServiceEntry(1, JournalEvent.STARTED, "op-1");
         }
 
-        assertThat(FalseNotRun.check("charge", history, journal)).hasSize(violations);
+        assertThat(FalseNotRunChecker.check("charge", history, journal)).hasSize(violations);
     }
 
     @ParameterizedTest(name = "{1} in flight while {0}, {2} ms after it turned cold: {3} violations")
@@ -64,50 +64,50 @@
         "cold, 3, 500, 0",
         "warm, 8, 5000, 0",
     })
-    void coldOverload(String state, int inFlight, long afterMs, int violations) {
-        engine(0, JournalEvent.STATE, "vm-1", "g/1", "cold", 0, "vm-1");
-        engine(afterMs, JournalEvent.STARTED, "vm-1", "g/1", state, inFlight, "vm-1");
+    void findsColdOverload(String state, int inFlight, long afterMs, int violations) {
+        addEngineEntry(0, JournalEvent.STATE, "vm-1", "g/1", "cold", 0, "vm-1");
+        addEngineEntry(afterMs, JournalEvent.STARTED, "vm-1", "g/1", state, inFlight, "vm-1");
 
-        assertThat(ColdOverload.check(journal, 2, 1_000)).hasSize(violations);
+        assertThat(ColdOverloadChecker.check(journal, 2, 1_000)).hasSize(violations);
     }
 
     @ParameterizedTest(name = "start {0} ms after the event at {1}: {2} violations")
     @CsvSource({"4900, vm-1, 0", "5100, vm-1, 1", "5100, vm-2, 0", "9100, vm-1, 0"})
-    void workAfterDeadline(long atMs, String vm, int violations) {
-        engine(atMs, JournalEvent.STARTED, vm, "g/1", "warm", 1, vm);
-        WorkAfterDeadline.Ban ban =
-                WorkAfterDeadline.Ban.after("zone out", Set.of("vm-1"), nanos(0), 5_000, nanos(9_000));
+    void findsWorkAfterDeadline(long atMs, String vm, int violations) {
+        addEngineEntry(atMs, JournalEvent.STARTED, vm, "g/1", "warm", 1, vm);
+        WorkAfterDeadlineChecker.ExclusionWindow window = WorkAfterDeadlineChecker.ExclusionWindow.after(
+                "zone out", Set.of("vm-1"), nanos(0), 5_000, nanos(9_000));
 
-        assertThat(WorkAfterDeadline.check(journal, ban)).hasSize(violations);
+        assertThat(WorkAfterDeadlineChecker.check(journal, window)).hasSize(violations);
     }
 
-    @ParameterizedTest(name = "start {0} ms after the death with members {1}: {2} violations")
+    @ParameterizedTest(name = "start {0} ms after vm-2 died, with member {1}: {2} violations")
     @CsvSource({"4900, vm-2, 0", "5100, vm-2, 1", "5100, vm-3, 0"})
-    void servedWithMissingMember(long atMs, String member, int violations) {
-        engine(atMs, JournalEvent.STARTED, "vm-1", "g/1", "warm", 1, "vm-1", member);
+    void findsStartsWithMissingMember(long atMs, String member, int violations) {
+        addEngineEntry(atMs, JournalEvent.STARTED, "vm-1", "g/1", "warm", 1, "vm-1", member);
 
-        assertThat(ServedWithMissingMember.check(journal, "vm-2", nanos(0), 5_000))
+        assertThat(ServedWithMissingMemberChecker.check(journal, "vm-2", nanos(0), 5_000))
                 .hasSize(violations);
     }
 
-    @ParameterizedTest(name = "vm-2 follows an order of {0}: {1} violations")
+    @ParameterizedTest(name = "vm-2 accepts the order {0}: {1} violations")
     @CsvSource({"'join g/1', 0", "'join g/2', 1", "'leave g/1', 0"})
-    void memberOfAnotherGroup(String order, int violations) {
-        journal.add(entry(1, JournalEvent.ORDER, "vm-2", null, "idle", 0, order, "vm-2"));
-        engine(2, JournalEvent.STARTED, "vm-1", "g/1", "warm", 1, "vm-1", "vm-2");
+    void findsMemberOfAnotherGroup(String order, int violations) {
+        journal.add(newEngineEntry(1, JournalEvent.ORDER, "vm-2", null, "idle", 0, order, "vm-2"));
+        addEngineEntry(2, JournalEvent.STARTED, "vm-1", "g/1", "warm", 1, "vm-1", "vm-2");
 
-        assertThat(MemberOfAnotherGroup.check(journal)).hasSize(violations);
+        assertThat(MemberOfAnotherGroupChecker.check(journal)).hasSize(violations);
     }
 
     @Test
-    void acceptsAConfigurationThatOnlyGoesForward() {
-        apply("change-1", 1, 10);
-        apply("change-1", 1, 20);
-        apply("change-2", 2, 30);
-        read("entry-1", "1:a", 40);
-        read("entry-1", "2:b", 6_000);
+    void acceptsAConfigurationThatOnlyAdvances() {
+        addAcceptedChange("change-1", 1, 10);
+        addAcceptedChange("change-1", 1, 20);
+        addAcceptedChange("change-2", 2, 30);
+        addRead("entry-1", "1:a", 40);
+        addRead("entry-1", "2:b", 6_000);
 
-        assertThat(ConfigurationRegister.check(history, 5_000)).isEmpty();
+        assertThat(ConfigurationChecker.check(history, 5_000)).isEmpty();
     }
 
     @ParameterizedTest(name = "{0}")
@@ -119,41 +119,42 @@
         "two_contents, read, entry-2, 1:other, 5100",
     })
     void findsAConfigurationThatReverts(String rule, String function, String subject, String value, long atMs) {
-        apply("change-1", 1, 10);
-        read("entry-1", "1:a", 40);
-        call(function, subject, Phase.OK, atMs - 1, atMs, value);
+        addAcceptedChange("change-1", 1, 10);
+        addRead("entry-1", "1:a", 40);
+        addCall(function, subject, Phase.OK, atMs - 1, atMs, value);
 
-        assertThat(ConfigurationRegister.check(history, 5_000).stream().map(Violation::rule))
+        assertThat(ConfigurationChecker.check(history, 5_000).stream().map(Violation::rule))
                 .containsExactly(rule);
     }
 
     @Test
-    void findsAnswersThatAreNotWhole() {
-        call("generate", "op-1", Phase.UNKNOWN, 1, 2, "cut_short");
-        call("generate", "op-2", Phase.UNKNOWN, 1, 2, "answer_cut_short");
+    void findsIncompleteResponses() {
+        addCall("generate", "op-1", Phase.UNKNOWN, 1, 2, "cut_short");
+        addCall("generate", "op-2", Phase.UNKNOWN, 1, 2, "answer_cut_short");
 
-        assertThat(WrongAnswer.check(history).stream().map(Violation::subject)).containsExactly("op-1");
+        assertThat(WrongAnswerChecker.check(history).stream().map(Violation::subject))
+                .containsExactly("op-1");
     }
 
-    private void apply(String change, long revision, long atMs) {
-        call(ConfigurationRegister.APPLY, change, Phase.OK, atMs - 1, atMs, revision + "@" + (revision - 1));
+    private void addAcceptedChange(String change, long revision, long atMs) {
+        addCall(ConfigurationChecker.APPLY, change, Phase.OK, atMs - 1, atMs, revision + "@" + (revision - 1));
     }
 
-    private void read(String entry, String value, long atMs) {
-        call(ConfigurationRegister.READ, entry, Phase.OK, atMs - 1, atMs, value);
+    private void addRead(String entry, String value, long atMs) {
+        addCall(ConfigurationChecker.READ, entry, Phase.OK, atMs - 1, atMs, value);
     }
 
-    private void call(String function, String subject, Phase end, long beginMs, long endMs) {
-        call(function, subject, end, beginMs, endMs, "");
+    private void addCall(String function, String subject, Phase outcome, long beginMs, long endMs) {
+        addCall(function, subject, outcome, beginMs, endMs, "");
     }
 
-    private void call(String function, String subject, Phase end, long beginMs, long endMs, String value) {
-        calls++;
-        history.add(new HistoryEvent(nanos(beginMs), 1, calls, Phase.INVOKE, function, subject, "entry", ""));
-        history.add(new HistoryEvent(nanos(endMs), 1, calls, end, function, subject, "entry", value));
+    private void addCall(String function, String subject, Phase outcome, long beginMs, long endMs, String value) {
+        callCount++;
+        history.add(new HistoryEvent(nanos(beginMs), 1, callCount, Phase.INVOKE, function, subject, "entry", ""));
+        history.add(new HistoryEvent(nanos(endMs), 1, callCount, outcome, function, subject, "entry", value));
     }
 
-    private void service(long atMs, JournalEvent event, String operation) {
+    private void addServiceEntry(long atMs, JournalEvent event, String operation) {
         journal.add(new JournalEntry(
                 nanos(atMs),
                 "svc-1",
@@ -173,12 +174,12 @@
                 null));
     }
 
-    private void engine(
+    private void addEngineEntry(
             long atMs, JournalEvent event, String vm, String group, String state, int inFlight, String... members) {
-        journal.add(entry(atMs, event, vm, group, state, inFlight, null, members));
+        journal.add(newEngineEntry(atMs, event, vm, group, state, inFlight, null, members));
     }
 
-    private static JournalEntry entry(
+    private static JournalEntry newEngineEntry(
             long atMs,
             JournalEvent event,
             String vm,
--- a/src/test/java/org/wigeongrade/proof/ColdCapacityProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/ColdCapacityProcessTest.java
@@ -11,7 +11,10 @@
 import org.wigeongrade.standin.JournalEntry;
 import org.wigeongrade.standin.JournalEvent;
 
-/** Full load from several entry VMs on engines that start cold, turn cold without warning, and lose an entry VM. */
+/**
+ * Sends full load through several entry VMs to engines that start cold, while an entry VM is killed, one engine turns
+ * cold without warning and the other is restarted.
+ */
 @Tag("process")
 final class ColdCapacityProcessTest {
     private static final int COLD_CAPACITY = 2;
@@ -27,10 +30,10 @@
             for (String vm : List.of("vm-1", "vm-2")) {
                 startEngine(fleet, vm);
             }
-            long unused =
-                    fleet.apply(Operators.basics() + Operators.pool(2, 1, 8, COLD_CAPACITY, "zone-a"), 0, "change-1");
-            try (Callers callers = new Callers(fleet.entries(), recorder)) {
-                callers.startGenerating(18, Workload.CHAT, 10);
+            long unused = fleet.apply(
+                    DeclaredSetToml.base() + DeclaredSetToml.pool(2, 1, 8, COLD_CAPACITY, "zone-a"), 0, "change-1");
+            try (ClientThreads clients = new ClientThreads(fleet.entryAddresses(), recorder)) {
+                clients.startGenerateClients(18, Workload.CHAT, 10);
                 awaitState(fleet, "vm-1", "warm", 0);
                 awaitState(fleet, "vm-2", "warm", 0);
                 long beforeNanos = System.nanoTime();
@@ -46,16 +49,16 @@
             }
 
             for (String vm : List.of("vm-1", "vm-2")) {
-                assertThat(ColdOverload.check(fleet.journal(vm), COLD_CAPACITY, COLD_GRACE_MS))
+                assertThat(ColdOverloadChecker.check(fleet.journal(vm), COLD_CAPACITY, COLD_GRACE_MS))
                         .isEmpty();
                 assertThat(count(fleet.journal(vm), JournalEvent.FELL_OVER)).isEqualTo(0);
             }
-            assertThat(WrongAnswer.check(recorder.history())).isEmpty();
+            assertThat(WrongAnswerChecker.check(recorder.history())).isEmpty();
         }
     }
 
     private static void startEngine(ProcessFleet fleet, String vm) {
-        ManagedProcess unused = fleet.engines(
+        ManagedProcess unused = fleet.startEngines(
                 vm,
                 "--cold-requests",
                 "12",
--- a/src/test/java/org/wigeongrade/proof/ColdOverload.java
+++ b/src/test/java/org/wigeongrade/proof/ColdOverloadChecker.java
@@ -6,13 +6,13 @@
 import org.wigeongrade.standin.JournalEvent;
 
 /**
- * Finds requests that reached a cold endpoint above its cold capacity. Requests that come within the grace time after
- * the endpoint turned cold without warning do not count. Stateless.
+ * Finds requests that reached a cold endpoint above its cold capacity. Requests within the grace time after the
+ * endpoint turned cold without warning do not count. Stateless.
  */
-final class ColdOverload {
-    private ColdOverload() {}
+final class ColdOverloadChecker {
+    private ColdOverloadChecker() {}
 
-    /** {@code journal} is that of one VM. */
+    /** Returns the violations in {@code journal}, which is that of one VM. */
     static List<Violation> check(List<JournalEntry> journal, int coldCapacity, long graceMs) {
         long graceNanos = TimeUnit.MILLISECONDS.toNanos(graceMs);
         return journal.stream()
--- a/src/test/java/org/wigeongrade/proof/RacingOperators.java
+++ b/src/test/java/org/wigeongrade/proof/ConcurrentOperators.java
@@ -12,20 +12,21 @@
 import org.wigeongrade.standin.StandinJson;
 
 /**
- * Operators in threads of their own: each reads the revision at an entry VM, applies a set on it and resends the change
- * under its id when the answer is lost; one more thread reads the configuration everywhere. Safe for use from any thread.
+ * Operators that change the configuration concurrently, each in a thread of its own. An operator reads the revision at
+ * an entry VM, applies a set on it and resends the change under the same id when the outcome is unknown. One more
+ * thread reads the configuration at all entry VMs. Safe for use from any thread.
  */
-final class RacingOperators implements AutoCloseable {
-    private static final int MAX_SENDS = 15;
+final class ConcurrentOperators implements AutoCloseable {
+    private static final int MAX_ATTEMPTS = 15;
     private static final long PAUSE_MS = 50;
 
     private final List<String> entries;
     private final HistoryRecorder recorder;
     private final AtomicBoolean stopping = new AtomicBoolean();
-    private final AtomicInteger changes = new AtomicInteger();
+    private final AtomicInteger changeCount = new AtomicInteger();
     private final List<Thread> threads = new ArrayList<>();
 
-    RacingOperators(List<String> entries, HistoryRecorder recorder) {
+    ConcurrentOperators(List<String> entries, HistoryRecorder recorder) {
         this.entries = List.copyOf(entries);
         this.recorder = recorder;
     }
@@ -34,67 +35,69 @@
     void start(int count) {
         for (int i = 0; i < count; i++) {
             int client = i;
-            start("operator-" + i, () -> change(client));
+            start("operator-" + i, () -> makeChange(client));
         }
-        start("reader", this::readAll);
+        start("reader", this::readAllEntries);
     }
 
     private void start(String name, Runnable step) {
-        Thread thread = new Thread(() -> loop(step), name);
+        Thread thread = new Thread(() -> runUntilClosed(step), name);
         thread.setDaemon(true);
         threads.add(thread);
         thread.start();
     }
 
-    private void loop(Runnable step) {
+    private void runUntilClosed(Runnable step) {
         while (!stopping.get()) {
             step.run();
             Await.sleepMs(PAUSE_MS);
         }
     }
 
-    private void change(int client) {
-        Optional<JsonNode> base = configuration(entries.get(client % entries.size()));
-        if (base.isEmpty()) {
+    private void makeChange(int client) {
+        Optional<JsonNode> configuration = fetchConfiguration(entries.get(client % entries.size()));
+        if (configuration.isEmpty()) {
             return;
         }
-        long revision = base.get().path("revision").asLong();
-        int number = changes.incrementAndGet();
+        long baseRevision = configuration.get().path("revision").asLong();
+        int changeNumber = changeCount.incrementAndGet();
         Phase phase = Phase.UNKNOWN;
-        for (int send = 0; send < MAX_SENDS && phase == Phase.UNKNOWN; send++) {
-            phase = apply(client, entries.get((client + send) % entries.size()), number, revision);
+        for (int attempt = 0; attempt < MAX_ATTEMPTS && phase == Phase.UNKNOWN; attempt++) {
+            phase = apply(client, entries.get((client + attempt) % entries.size()), changeNumber, baseRevision);
         }
     }
 
-    private Phase apply(int client, String entry, int number, long base) {
-        String change = "race-" + number;
-        String path = "/v1/operator/apply?change_id=" + change + "&base_revision=" + base + "&operator=op-" + client;
-        HistoryRecorder.Call call = recorder.invoke(client, ConfigurationRegister.APPLY, change, entry);
-        Optional<HttpResponse<String>> answer = Http.trySend("POST", entry, path, Operators.basics() + extra(number));
-        int status = answer.map(HttpResponse::statusCode).orElse(0);
+    private Phase apply(int client, String entry, int changeNumber, long baseRevision) {
+        String changeId = "race-" + changeNumber;
+        String path = "/v1/operator/apply?change_id=" + changeId + "&base_revision=" + baseRevision + "&operator=op-"
+                + client;
+        HistoryRecorder.Call call = recorder.invoke(client, ConfigurationChecker.APPLY, changeId, entry);
+        Optional<HttpResponse<String>> response =
+                Http.trySend("POST", entry, path, DeclaredSetToml.base() + changedOrganisation(changeNumber));
+        int status = response.map(HttpResponse::statusCode).orElse(0);
         if (status == 200) {
-            call.ok(Operators.revision(answer.get().body()) + "@" + base);
+            call.ok(DeclaredSetToml.parseRevision(response.get().body()) + "@" + baseRevision);
             return Phase.OK;
         }
         if (status == 409 || status == 422) {
-            call.fail(answer.get().body());
+            call.fail(response.get().body());
             return Phase.FAIL;
         }
-        call.unknown(answer.map(HttpResponse::body).orElse("no answer"));
+        call.unknown(response.map(HttpResponse::body).orElse("no response"));
         Await.sleepMs(100);
         return Phase.UNKNOWN;
     }
 
-    private static String extra(int number) {
+    private static String changedOrganisation(int changeNumber) {
         return """
                 [[organisation]]
                 name = "racer"
                 key_sha256 = ["%s"]
                 requests_per_second = %d
-                """.formatted(Operators.sha256("racer"), number);
+                """.formatted(DeclaredSetToml.sha256("racer"), changeNumber);
     }
 
-    private void readAll() {
+    private void readAllEntries() {
         for (String entry : entries) {
             readOnce(entry);
         }
@@ -102,12 +105,12 @@
 
     /**
      * Reads the configuration at {@code entry}. The read counts only if the entry VM passes its health check before and
-     * after it: without a valid view lease it serves nobody and its view is in force for nobody.
+     * after it: without a valid view lease the VM serves no requests, so its view is not in force for any caller.
      */
     void readOnce(String entry) {
-        HistoryRecorder.Call call = recorder.invoke(99, ConfigurationRegister.READ, entry, entry);
+        HistoryRecorder.Call call = recorder.invoke(99, ConfigurationChecker.READ, entry, entry);
         boolean healthy = Http.isHealthy(entry);
-        Optional<JsonNode> read = configuration(entry);
+        Optional<JsonNode> read = fetchConfiguration(entry);
         if (healthy && read.isPresent() && Http.isHealthy(entry)) {
             long revision = read.get().path("revision").asLong();
             call.ok(revision + ":" + AnswerText.digest(read.get().toString()));
@@ -116,15 +119,15 @@
         }
     }
 
-    private static Optional<JsonNode> configuration(String entry) {
+    private static Optional<JsonNode> fetchConfiguration(String entry) {
         return Http.trySend("GET", entry, "/v1/operator/configuration", "")
-                .filter(answer -> answer.statusCode() == 200)
-                .map(RacingOperators::parse);
+                .filter(response -> response.statusCode() == 200)
+                .map(ConcurrentOperators::parse);
     }
 
-    private static JsonNode parse(HttpResponse<String> answer) {
+    private static JsonNode parse(HttpResponse<String> response) {
         try {
-            return StandinJson.MAPPER.readTree(answer.body());
+            return StandinJson.MAPPER.readTree(response.body());
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
--- a/src/test/java/org/wigeongrade/proof/ConfigurationRegister.java
+++ b/src/test/java/org/wigeongrade/proof/ConfigurationChecker.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Finds breaches of the configuration as a register with compare-and-set: two changes accepted on one base, a change
- * acknowledged twice with different revisions, an accepted revision that is not in force after its time, and one
- * revision with two contents. Stateless.
+ * Checks that the configuration behaves as a register with compare-and-set. Finds two changes accepted on one base or
+ * as one revision, a change acknowledged twice with different revisions, an accepted revision that is not in force
+ * within its time limit, and one revision with two contents. Stateless.
  *
- * <p>Histories hold {@code apply} (subject: change id, target: entry VM, value: {@code revision@base} when ok) and {@code read}
- * (subject: entry VM, value: {@code revision:digest} when ok).
+ * <p>Histories contain {@code apply} (subject: change id, target: entry VM, value: {@code revision@base} when ok) and
+ * {@code read} (subject: entry VM, value: {@code revision:digest} when ok).
  */
-final class ConfigurationRegister {
+final class ConfigurationChecker {
     static final String APPLY = "apply";
     static final String READ = "read";
 
-    private ConfigurationRegister() {}
+    private ConfigurationChecker() {}
 
     static List<Violation> check(List<HistoryEvent> history, long inForceMs) {
         List<Violation> violations = new ArrayList<>();
@@ -33,22 +33,27 @@
         Map<String, Long> revisionOfChange = new HashMap<>();
         List<Violation> violations = new ArrayList<>();
         Map<String, String> changeOfBase = new HashMap<>();
-        for (HistoryEvent event : ended(history, APPLY)) {
+        for (HistoryEvent event : successful(history, APPLY)) {
             long revision = appliedRevision(event);
             String base = event.value().substring(event.value().indexOf('@') + 1);
-            String rival = changeOfBase.putIfAbsent(base, event.subject());
-            if (rival != null && !rival.equals(event.subject())) {
-                violations.add(new Violation("two_changes_on_one_base", base, rival + " and " + event.subject()));
-            }
-            String other = changeOfRevision.putIfAbsent(revision, event.subject());
-            if (other != null && !other.equals(event.subject())) {
+            String otherChangeOnBase = changeOfBase.putIfAbsent(base, event.subject());
+            if (otherChangeOnBase != null && !otherChangeOnBase.equals(event.subject())) {
                 violations.add(
-                        new Violation("two_changes_in_one_revision", event.value(), other + " and " + event.subject()));
+                        new Violation("two_changes_on_one_base", base, otherChangeOnBase + " and " + event.subject()));
+            }
+            String otherChangeInRevision = changeOfRevision.putIfAbsent(revision, event.subject());
+            if (otherChangeInRevision != null && !otherChangeInRevision.equals(event.subject())) {
+                violations.add(new Violation(
+                        "two_changes_in_one_revision",
+                        event.value(),
+                        otherChangeInRevision + " and " + event.subject()));
             }
-            Long first = revisionOfChange.putIfAbsent(event.subject(), revision);
-            if (first != null && first != revision) {
+            Long firstRevision = revisionOfChange.putIfAbsent(event.subject(), revision);
+            if (firstRevision != null && firstRevision != revision) {
                 violations.add(new Violation(
-                        "change_acknowledged_twice", event.subject(), "as revision " + first + " and " + revision));
+                        "change_acknowledged_twice",
+                        event.subject(),
+                        "as revision " + firstRevision + " and " + revision));
             }
         }
         return violations;
@@ -56,23 +61,23 @@
 
     private static List<Violation> notInForce(List<HistoryEvent> history, long inForceMs) {
         long inForceNanos = TimeUnit.MILLISECONDS.toNanos(inForceMs);
-        List<HistoryEvent> applies = ended(history, APPLY);
+        List<HistoryEvent> applies = successful(history, APPLY);
         Map<Long, Long> invokedNanos = new HashMap<>();
         history.stream()
                 .filter(event -> event.phase() == Phase.INVOKE)
                 .forEach(event -> invokedNanos.put(event.call(), event.atNanos()));
         List<Violation> violations = new ArrayList<>();
-        for (HistoryEvent read : ended(history, READ)) {
-            long due = applies.stream()
+        for (HistoryEvent read : successful(history, READ)) {
+            long requiredRevision = applies.stream()
                     .filter(apply -> apply.atNanos() + inForceNanos <= invokedNanos.get(read.call()))
-                    .mapToLong(ConfigurationRegister::appliedRevision)
+                    .mapToLong(ConfigurationChecker::appliedRevision)
                     .max()
                     .orElse(0);
-            if (revisionOf(read) < due) {
+            if (revisionOf(read) < requiredRevision) {
                 violations.add(new Violation(
                         "revision_not_in_force",
                         read.subject(),
-                        "read revision " + revisionOf(read) + " although " + due + " was due"));
+                        "read revision " + revisionOf(read) + " although " + requiredRevision + " should be in force"));
             }
         }
         return violations;
@@ -81,10 +86,10 @@
     private static List<Violation> twoContents(List<HistoryEvent> history) {
         Map<Long, String> contentOfRevision = new HashMap<>();
         List<Violation> violations = new ArrayList<>();
-        for (HistoryEvent read : ended(history, READ)) {
-            String other = contentOfRevision.putIfAbsent(revisionOf(read), read.value());
-            if (other != null && !other.equals(read.value())) {
-                violations.add(new Violation("two_contents", read.subject(), other + " and " + read.value()));
+        for (HistoryEvent read : successful(history, READ)) {
+            String otherContent = contentOfRevision.putIfAbsent(revisionOf(read), read.value());
+            if (otherContent != null && !otherContent.equals(read.value())) {
+                violations.add(new Violation("two_contents", read.subject(), otherContent + " and " + read.value()));
             }
         }
         return violations;
@@ -98,7 +103,7 @@
         return Long.parseLong(read.value().substring(0, read.value().indexOf(':')));
     }
 
-    private static List<HistoryEvent> ended(List<HistoryEvent> history, String function) {
+    private static List<HistoryEvent> successful(List<HistoryEvent> history, String function) {
         return history.stream()
                 .filter(event -> event.phase() == Phase.OK && event.function().equals(function))
                 .toList();
--- a/src/test/java/org/wigeongrade/proof/ConfigurationProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/ConfigurationProcessTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Operators race with equal base revisions while control VMs are killed, frozen, cut off, and all restarted at once. */
+/**
+ * Operators concurrently apply changes on the same base revision while control VMs are killed, frozen, disconnected,
+ * and all restarted at once.
+ */
 @Tag("process")
 final class ConfigurationProcessTest {
     private static final long IN_FORCE_MS = 5_000;
@@ -19,52 +22,52 @@
     Path folder;
 
     @Test
-    void isInForceInTimeAndNeverReverts() throws Exception {
+    void newRevisionIsInForceInTimeAndNeverReverts() throws Exception {
         try (ProcessFleet fleet = ProcessFleet.start(folder, 3, 0, true);
                 HistoryRecorder recorder = new HistoryRecorder(folder.resolve("history.jsonl"))) {
-            try (RacingOperators operators = new RacingOperators(fleet.entries(), recorder)) {
+            try (ConcurrentOperators operators = new ConcurrentOperators(fleet.entryAddresses(), recorder)) {
                 operators.start(3);
-                disturb(fleet, recorder);
+                injectFaults(fleet, recorder);
             }
             Await.sleepMs(IN_FORCE_MS);
-            try (RacingOperators last = new RacingOperators(fleet.entries(), recorder)) {
-                fleet.entries().forEach(last::readOnce);
+            try (ConcurrentOperators finalReader = new ConcurrentOperators(fleet.entryAddresses(), recorder)) {
+                fleet.entryAddresses().forEach(finalReader::readOnce);
             }
 
             List<HistoryEvent> history = recorder.history();
-            assertThat(ConfigurationRegister.check(history, IN_FORCE_MS)).isEmpty();
-            assertWithMessage("%s", Histories.outcomes(history, ConfigurationRegister.APPLY))
-                    .that(Histories.count(history, ConfigurationRegister.APPLY, Phase.OK))
+            assertThat(ConfigurationChecker.check(history, IN_FORCE_MS)).isEmpty();
+            assertWithMessage("%s", Histories.outcomes(history, ConfigurationChecker.APPLY))
+                    .that(Histories.count(history, ConfigurationChecker.APPLY, Phase.OK))
                     .isAtLeast(MIN_ACCEPTED);
         }
     }
 
-    private static void disturb(ProcessFleet fleet, HistoryRecorder recorder) {
+    private static void injectFaults(ProcessFleet fleet, HistoryRecorder recorder) {
         Await.sleepMs(2_000);
         for (String name : List.of("entry-1", "entry-2", "entry-3")) {
             fleet.process(name).kill();
-            recorder.note("kill", name);
+            recorder.recordAction("kill", name);
             Await.sleepMs(1_500);
             fleet.process(name).restart();
-            Await.until(name + " is healthy", 10_000, () -> Http.isHealthy(fleet.entry(name)));
+            Await.until(name + " is healthy", 10_000, () -> Http.isHealthy(fleet.entryAddress(name)));
         }
-        fleet.cut("entry-1", CuttingProxy.Mode.SILENT);
-        recorder.note("cut", "entry-1");
+        fleet.setProxyMode("entry-1", CuttingProxy.Mode.SILENT);
+        recorder.recordAction("cut", "entry-1");
         Await.sleepMs(3_000);
-        fleet.cut("entry-1", CuttingProxy.Mode.PASS);
+        fleet.setProxyMode("entry-1", CuttingProxy.Mode.PASS);
         fleet.process("entry-2").freeze();
-        recorder.note("freeze", "entry-2");
+        recorder.recordAction("freeze", "entry-2");
         Await.sleepMs(3_000);
         fleet.process("entry-2").thaw();
         Await.sleepMs(1_000);
         List.of("entry-1", "entry-2", "entry-3")
                 .forEach(name -> fleet.process(name).kill());
-        recorder.note("kill", "all");
+        recorder.recordAction("kill", "all");
         List.of("entry-1", "entry-2", "entry-3")
                 .forEach(name -> fleet.process(name).restart());
         Await.until(
                 "all healthy after restart",
                 15_000,
-                () -> fleet.entries().stream().allMatch(Http::isHealthy));
+                () -> fleet.entryAddresses().stream().allMatch(Http::isHealthy));
     }
 }
--- a/src/test/java/org/wigeongrade/proof/CuttingProxy.java
+++ b/src/test/java/org/wigeongrade/proof/CuttingProxy.java
@@ -9,21 +9,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Forwards TCP connections between two VMs and cuts them as a network does.
+ * TCP proxy between two VMs that injects network faults.
  *
- * <p>Invariant: a connection that went silent stays silent for good, as when something between the ends lost track of it.
- * Safe for use from any thread.
+ * <p>Invariant: a connection that was black-holed stays so for good, as when a middlebox has lost its state. Safe for
+ * use from any thread.
  */
 public final class CuttingProxy implements AutoCloseable {
-    /** What becomes of connections. */
+    /** How connections are treated. */
     public enum Mode {
-        /** Everything passes. */
+        /** All bytes are forwarded. */
         PASS,
         /** Bytes arrive late. */
         DELAYED,
-        /** Bytes towards the target vanish; those from it pass. */
+        /** Bytes to the target are dropped; those from it are forwarded. */
         DEAF,
-        /** Bytes vanish: open connections and new ones give no sign of life and no reset. */
+        /** Bytes are dropped in both directions without a reset, on open and new connections. */
         SILENT,
         /** Connections are reset. */
         RESET
@@ -35,7 +35,7 @@
 
     private final ServerSocket server;
     private final InetSocketAddress target;
-    private final Set<Link> links = ConcurrentHashMap.newKeySet();
+    private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
     private volatile Mode mode = Mode.PASS;
 
     /** Listens at a free loopback port and forwards to {@code targetPort}. */
@@ -49,59 +49,59 @@
     public CuttingProxy(InetSocketAddress listen, InetSocketAddress target) throws IOException {
         this.target = target;
         this.server = new ServerSocket(listen.getPort(), 50, listen.getAddress());
-        start("proxy-accept", this::accept);
+        startThread("proxy-accept", this::acceptConnections);
     }
 
-    /** Returns the address that the far VM's peers use, {@code ip:port}. */
+    /** Returns the address of this proxy, {@code ip:port}, which peers use in place of the target's. */
     String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Sets what becomes of open and new connections. */
+    /** Sets how open and new connections are treated. */
     public void set(Mode newMode) {
         mode = newMode;
         if (newMode == Mode.SILENT) {
-            silenceOpenConnections();
+            blackholeOpenConnections();
         } else if (newMode == Mode.RESET) {
-            links.forEach(Link::reset);
+            connections.forEach(Connection::reset);
         }
     }
 
-    /** Silences the open connections for good while new ones pass. */
-    public void silenceOpenConnections() {
-        links.forEach(link -> link.silent = true);
+    /** Black-holes the open connections for good; new ones are not affected. */
+    public void blackholeOpenConnections() {
+        connections.forEach(connection -> connection.blackholed = true);
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!server.isClosed()) {
             try {
-                serve(server.accept());
+                forward(server.accept());
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void serve(Socket near) throws IOException {
-        Socket far = new Socket();
-        Link link = new Link(near, far);
-        link.silent = mode == Mode.SILENT;
-        links.add(link);
+    private void forward(Socket clientSocket) throws IOException {
+        Socket targetSocket = new Socket();
+        Connection connection = new Connection(clientSocket, targetSocket);
+        connection.blackholed = mode == Mode.SILENT;
+        connections.add(connection);
         if (mode == Mode.RESET) {
-            link.reset();
+            connection.reset();
             return;
         }
         try {
-            far.connect(target, 1_000);
+            targetSocket.connect(target, 1_000);
         } catch (IOException e) {
-            link.reset();
+            connection.reset();
             return;
         }
-        start("proxy-pump", () -> link.pump(near, far, true));
-        start("proxy-pump", () -> link.pump(far, near, false));
+        startThread("proxy-copy", () -> connection.copy(clientSocket, targetSocket, true));
+        startThread("proxy-copy", () -> connection.copy(targetSocket, clientSocket, false));
     }
 
-    private static void start(String name, Runnable action) {
+    private static void startThread(String name, Runnable action) {
         Thread thread = new Thread(null, action, name, 128 * 1024);
         thread.setDaemon(true);
         thread.start();
@@ -110,22 +110,22 @@
     @Override
     public void close() throws IOException {
         server.close();
-        links.forEach(Link::reset);
+        connections.forEach(Connection::reset);
     }
 
     /** One forwarded connection. */
-    private final class Link {
-        private final Socket near;
-        private final Socket far;
-        private volatile boolean silent;
-        private volatile boolean deaf;
-
-        private Link(Socket near, Socket far) {
-            this.near = near;
-            this.far = far;
+    private final class Connection {
+        private final Socket clientSocket;
+        private final Socket targetSocket;
+        private volatile boolean blackholed;
+        private volatile boolean dropsToTarget;
+
+        private Connection(Socket clientSocket, Socket targetSocket) {
+            this.clientSocket = clientSocket;
+            this.targetSocket = targetSocket;
         }
 
-        private void pump(Socket from, Socket to, boolean towardsTarget) {
+        private void copy(Socket from, Socket to, boolean towardsTarget) {
             byte[] buffer = new byte[BUFFER_BYTES];
             try {
                 int count = from.getInputStream().read(buffer);
@@ -133,27 +133,27 @@
                     if (mode == Mode.DELAYED) {
                         Await.sleepMs(DELAY_MS);
                     }
-                    // A connection that lost bytes must not pass later ones.
-                    deaf = deaf || (towardsTarget && mode == Mode.DEAF);
-                    if (!silent && !(towardsTarget && deaf)) {
+                    // A connection that dropped bytes must not forward later ones.
+                    dropsToTarget = dropsToTarget || (towardsTarget && mode == Mode.DEAF);
+                    if (!blackholed && !(towardsTarget && dropsToTarget)) {
                         to.getOutputStream().write(buffer, 0, count);
                     }
                     count = from.getInputStream().read(buffer);
                 }
-                if (!silent) {
+                if (!blackholed) {
                     to.shutdownOutput();
                 }
             } catch (IOException e) {
-                if (!silent) {
+                if (!blackholed) {
                     reset();
                 }
             }
         }
 
         private void reset() {
-            links.remove(this);
-            closeWithReset(near);
-            closeWithReset(far);
+            connections.remove(this);
+            closeWithReset(clientSocket);
+            closeWithReset(targetSocket);
         }
 
         private void closeWithReset(Socket socket) {
@@ -161,7 +161,7 @@
                 socket.setSoLinger(true, 0);
                 socket.close();
             } catch (IOException e) {
-                silent = true;
+                blackholed = true;
             }
         }
     }
--- a/src/test/java/org/wigeongrade/proof/Operators.java
+++ b/src/test/java/org/wigeongrade/proof/DeclaredSetToml.java
@@ -6,15 +6,15 @@
 import java.nio.charset.StandardCharsets;
 import org.wigeongrade.standin.StandinJson;
 
-/** What operators declare and read in the process tests. Stateless; safe for use from any thread. */
-final class Operators {
-    /** Bearer key of the organisation that the tests declare. */
-    static final String KEY = "key-carrick";
+/** TOML texts of the declared sets that process tests apply. Stateless; safe for use from any thread. */
+final class DeclaredSetToml {
+    /** API key of the organisation that {@link #base} declares. */
+    static final String API_KEY = "key-carrick";
 
-    private Operators() {}
+    private DeclaredSetToml() {}
 
-    /** Returns three zones, one organisation with wide limits and a model version. */
-    static String basics() {
+    /** Returns three zones, one organisation with high limits and a model version. */
+    static String base() {
         return """
                 [[availability_zone]]
                 name = "zone-a"
@@ -32,10 +32,10 @@
                 requests_per_second = 10000
                 requests_in_flight = 1000
                 tokens_per_minute = 100000000
-                """.formatted(sha256(KEY));
+                """.formatted(sha256(API_KEY));
     }
 
-    /** Returns a service that every zone may hold. */
+    /** Returns a service that may run in all three zones. */
     static String service(String name) {
         return """
                 [[service]]
@@ -65,12 +65,12 @@
                 """.formatted(replicas, vmsPerReplica, capacity, coldCapacity, String.join("\", \"", zones));
     }
 
-    /** Returns the revision in an answer to {@code apply}. */
-    static long revision(String answer) {
+    /** Returns the revision in the response to {@code apply}. */
+    static long parseRevision(String response) {
         try {
-            return StandinJson.MAPPER.readTree(answer).path("revision").asLong();
+            return StandinJson.MAPPER.readTree(response).path("revision").asLong();
         } catch (IOException e) {
-            throw new UncheckedIOException("answer '" + answer + "' holds no revision", e);
+            throw new UncheckedIOException("response '" + response + "' is not valid JSON, so it has no revision", e);
         }
     }
 
--- a/src/test/java/org/wigeongrade/proof/ExecutedTwice.java
+++ b/src/test/java/org/wigeongrade/proof/ExecutedTwiceChecker.java
@@ -8,11 +8,11 @@
 import org.wigeongrade.standin.JournalEvent;
 
 /**
- * Finds operations that a service executed more than once. A non-idempotent operation runs at most once, however often
- * its caller resends it. Stateless.
+ * Finds operations that a service executed more than once. A non-idempotent operation must run at most once, no matter
+ * how often its client resends it. Stateless.
  */
-final class ExecutedTwice {
-    private ExecutedTwice() {}
+final class ExecutedTwiceChecker {
+    private ExecutedTwiceChecker() {}
 
     static List<Violation> check(List<JournalEntry> journal) {
         Map<String, Long> executions = journal.stream()
--- a/src/test/java/org/wigeongrade/proof/FalseNotRun.java
+++ b/src/test/java/org/wigeongrade/proof/FalseNotRunChecker.java
@@ -9,11 +9,11 @@
 import org.wigeongrade.standin.JournalEvent;
 
 /**
- * Finds operations that ran although every answer to their caller said that they were not run. A caller who was never
- * told anything else may safely send the operation by another way. Stateless.
+ * Finds operations that ran although every response to the client stated that they did not run. A client that received
+ * no other response may safely send the operation by another path. Stateless.
  */
-final class FalseNotRun {
-    private FalseNotRun() {}
+final class FalseNotRunChecker {
+    private FalseNotRunChecker() {}
 
     static List<Violation> check(String function, List<HistoryEvent> history, List<JournalEntry> journal) {
         Set<String> started = journal.stream()
@@ -28,8 +28,10 @@
                         Collectors.mapping(HistoryEvent::phase, Collectors.toSet())));
         return outcomes.entrySet().stream()
                 .filter(entry -> entry.getValue().equals(Set.of(Phase.FAIL)) && started.contains(entry.getKey()))
-                .map(entry ->
-                        new Violation("false_not_run", entry.getKey(), "told not run only, yet an endpoint ran it"))
+                .map(entry -> new Violation(
+                        "false_not_run",
+                        entry.getKey(),
+                        "every response stated that it was not run, but an endpoint ran it"))
                 .toList();
     }
 }
--- a/src/test/java/org/wigeongrade/proof/CuttingProxyTest.java
+++ b/src/test/java/org/wigeongrade/proof/FaultInjectionProxyTest.java
@@ -13,41 +13,41 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-final class CuttingProxyTest {
-    private ServerSocket echo;
+final class FaultInjectionProxyTest {
+    private ServerSocket echoServer;
     private CuttingProxy proxy;
 
     @BeforeEach
     void start() throws IOException {
-        echo = new ServerSocket(LoopbackPorts.free(), 10, InetAddress.getLoopbackAddress());
-        Thread thread = new Thread(this::serve);
+        echoServer = new ServerSocket(LoopbackPorts.free(), 10, InetAddress.getLoopbackAddress());
+        Thread thread = new Thread(this::runEchoServer);
         thread.setDaemon(true);
         thread.start();
-        proxy = new CuttingProxy(echo.getLocalPort());
+        proxy = new CuttingProxy(echoServer.getLocalPort());
     }
 
     @AfterEach
     void stop() throws IOException {
         proxy.close();
-        echo.close();
+        echoServer.close();
     }
 
     @Test
-    void passesBothWays() throws IOException {
+    void forwardsInBothDirections() throws IOException {
         try (Socket socket = connect()) {
-            assertThat(echoOf(socket, 7)).isEqualTo(7);
+            assertThat(sendAndReadEcho(socket, 7)).isEqualTo(7);
         }
     }
 
     @Test
-    void silencesOpenConnectionsForGoodWhileNewOnesPass() throws IOException {
-        try (Socket old = connect()) {
-            assertThat(echoOf(old, 7)).isEqualTo(7);
-            proxy.silenceOpenConnections();
+    void blackholesOpenConnectionsForGoodAndForwardsNewOnes() throws IOException {
+        try (Socket openBefore = connect()) {
+            assertThat(sendAndReadEcho(openBefore, 7)).isEqualTo(7);
+            proxy.blackholeOpenConnections();
 
-            assertThrows(SocketTimeoutException.class, () -> echoOf(old, 8));
-            try (Socket fresh = connect()) {
-                assertThat(echoOf(fresh, 9)).isEqualTo(9);
+            assertThrows(SocketTimeoutException.class, () -> sendAndReadEcho(openBefore, 8));
+            try (Socket openedAfter = connect()) {
+                assertThat(sendAndReadEcho(openedAfter, 9)).isEqualTo(9);
             }
         }
     }
@@ -55,12 +55,12 @@
     @Test
     void resetsConnections() throws IOException {
         try (Socket socket = connect()) {
-            assertThat(echoOf(socket, 7)).isEqualTo(7);
+            assertThat(sendAndReadEcho(socket, 7)).isEqualTo(7);
             proxy.set(CuttingProxy.Mode.RESET);
 
             assertThrows(SocketException.class, () -> {
                 for (int i = 0; i < 100; i++) {
-                    assertThat(echoOf(socket, 8)).isEqualTo(8);
+                    assertThat(sendAndReadEcho(socket, 8)).isEqualTo(8);
                 }
             });
         }
@@ -74,16 +74,16 @@
         return socket;
     }
 
-    private static int echoOf(Socket socket, int value) throws IOException {
+    private static int sendAndReadEcho(Socket socket, int value) throws IOException {
         socket.getOutputStream().write(value);
         return socket.getInputStream().read();
     }
 
-    private void serve() {
-        while (!echo.isClosed()) {
+    private void runEchoServer() {
+        while (!echoServer.isClosed()) {
             try {
-                Socket socket = echo.accept();
-                Thread thread = new Thread(() -> copyBack(socket));
+                Socket socket = echoServer.accept();
+                Thread thread = new Thread(() -> echoBytes(socket));
                 thread.setDaemon(true);
                 thread.start();
             } catch (IOException e) {
@@ -92,7 +92,7 @@
         }
     }
 
-    private static void copyBack(Socket socket) {
+    private static void echoBytes(Socket socket) {
         try (socket) {
             int value = socket.getInputStream().read();
             while (value >= 0) {
--- a/src/test/java/org/wigeongrade/proof/GracefulStopProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/GracefulStopProcessTest.java
@@ -13,7 +13,7 @@
 import org.wigeongrade.bench.CallResult;
 import org.wigeongrade.bench.Workload;
 
-/** An entry VM is stopped by SIGTERM while it carries streams and whole answers. */
+/** Stops an entry VM by SIGTERM while it forwards a streamed and a non-streamed response. */
 @Tag("process")
 final class GracefulStopProcessTest {
     private static final int TOKENS = 100;
@@ -25,18 +25,20 @@
     void cutsNoRequestInFlight() throws Exception {
         try (ProcessFleet fleet = ProcessFleet.start(folder, 3, 0);
                 HistoryRecorder recorder = new HistoryRecorder(folder.resolve("history.jsonl"));
-                Callers callers = new Callers(fleet.entries(), recorder)) {
-            fleet.engines("vm-1,vm-2", "--cold-requests", "1", "--token-ms", "30");
-            long unused = fleet.apply(Operators.basics() + Operators.pool(2, 1, 8, 2, "zone-a"), 0, "change-1");
-            String stopping = fleet.entry("entry-2");
+                ClientThreads clients = new ClientThreads(fleet.entryAddresses(), recorder)) {
+            fleet.startEngines("vm-1,vm-2", "--cold-requests", "1", "--token-ms", "30");
+            long unused =
+                    fleet.apply(DeclaredSetToml.base() + DeclaredSetToml.pool(2, 1, 8, 2, "zone-a"), 0, "change-1");
+            String stoppingEntry = fleet.entryAddress("entry-2");
             Await.until(
-                    "an answer",
+                    "a successful response",
                     20_000,
-                    () -> generate(callers, stopping, "probe", Workload.CHAT, 2).isOk());
+                    () -> generate(clients, stoppingEntry, "probe", Workload.CHAT, 2)
+                            .isOk());
             List<CompletableFuture<CallResult>> inFlight = new ArrayList<>();
             for (Workload workload : List.of(Workload.CHAT_STREAM, Workload.CHAT)) {
                 inFlight.add(CompletableFuture.supplyAsync(
-                        () -> generate(callers, stopping, "slow-" + workload, workload, TOKENS)));
+                        () -> generate(clients, stoppingEntry, "slow-" + workload, workload, TOKENS)));
             }
             Await.until(
                     "both run",
@@ -44,8 +46,8 @@
                     () -> Histories.startedOperations(fleet.journal())
                             .containsAll(List.of("slow-CHAT_STREAM", "slow-CHAT")));
             fleet.process("entry-2").terminate();
-            Await.until("health fails", 1_000, () -> !Http.isHealthy(stopping));
-            Await.until("new requests are refused", 2_500, () -> isRefused(callers, stopping));
+            Await.until("health check fails", 1_000, () -> !Http.isHealthy(stoppingEntry));
+            Await.until("new requests are refused", 2_500, () -> isRefused(clients, stoppingEntry));
 
             for (CompletableFuture<CallResult> result : inFlight) {
                 assertWithMessage(fleet.process("entry-2").output())
@@ -57,15 +59,16 @@
         }
     }
 
-    /** Returns whether a new request is refused; before that it must get its whole answer. */
-    private static boolean isRefused(Callers callers, String entry) {
-        CallResult late = generate(callers, entry, "late", Workload.CHAT, 2);
+    /** Returns whether a new request is refused; fails if it gets neither a refusal nor a complete response. */
+    private static boolean isRefused(ClientThreads clients, String entry) {
+        CallResult late = generate(clients, entry, "late", Workload.CHAT, 2);
         boolean refused = late.saysNotRun() || late.code().equals("refused_connection");
         assertWithMessage(late.code()).that(refused || late.isOk()).isTrue();
         return refused;
     }
 
-    private static CallResult generate(Callers callers, String entry, String operation, Workload workload, int tokens) {
-        return callers.generateAt(entry, 1, workload, operation, "", tokens);
+    private static CallResult generate(
+            ClientThreads clients, String entry, String operation, Workload workload, int tokens) {
+        return clients.generateAt(entry, 1, workload, operation, "", tokens);
     }
 }
--- a/src/test/java/org/wigeongrade/proof/Histories.java
+++ b/src/test/java/org/wigeongrade/proof/Histories.java
@@ -8,18 +8,18 @@
 import org.wigeongrade.standin.JournalEntry;
 import org.wigeongrade.standin.JournalEvent;
 
-/** Counts over histories. Stateless. */
+/** Queries on histories and journals. Stateless. */
 final class Histories {
     private Histories() {}
 
-    /** Returns the number of outcomes of {@code function} in {@code phase}. */
+    /** Returns the number of events of {@code function} in {@code phase}. */
     static long count(List<HistoryEvent> history, String function, Phase phase) {
         return history.stream()
                 .filter(event -> event.function().equals(function) && event.phase() == phase)
                 .count();
     }
 
-    /** Returns the targets of the outcomes of {@code function} in {@code phase}. */
+    /** Returns the targets of the events of {@code function} in {@code phase}. */
     static Set<String> targets(List<HistoryEvent> history, String function, Phase phase) {
         return history.stream()
                 .filter(event -> event.function().equals(function) && event.phase() == phase)
@@ -35,7 +35,7 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Returns the number of outcomes by phase and value. */
+    /** Returns the number of outcomes of {@code function} by phase and value; values are cut to 60 characters. */
     static Map<String, Long> outcomes(List<HistoryEvent> history, String function) {
         return history.stream()
                 .filter(event -> event.function().equals(function) && event.phase() != Phase.INVOKE)
--- a/src/test/java/org/wigeongrade/proof/HistoryRecorder.java
+++ b/src/test/java/org/wigeongrade/proof/HistoryRecorder.java
@@ -11,31 +11,31 @@
 import org.wigeongrade.standin.StandinJson;
 
 /**
- * Records what clients did and saw, as JSON lines in the order of the recorder's clock.
+ * Records the calls of clients and their outcomes, as JSON lines in the order of the recorder's clock.
  *
- * <p>Invariants: an invocation is recorded before the client acts and its outcome after the client knows it; events are
- * in the order of their times. Safe for use from any thread.
+ * <p>Invariants: an invocation is recorded before the client sends it and its outcome after the client knows it; events
+ * are in order of time. Safe for use from any thread.
  */
 final class HistoryRecorder implements AutoCloseable {
     private final List<HistoryEvent> events = new ArrayList<>();
-    private final AtomicLong calls = new AtomicLong();
+    private final AtomicLong callCount = new AtomicLong();
     private final BufferedWriter file;
 
     HistoryRecorder(Path path) throws IOException {
         this.file = Files.newBufferedWriter(path);
     }
 
-    /** One invocation whose outcome is still due. */
+    /** One invocation, whose outcome is recorded by one of the methods. */
     final class Call {
         private final int client;
-        private final long number;
+        private final long id;
         private final String function;
         private final String subject;
         private final String target;
 
         private Call(int client, String function, String subject, String target) {
             this.client = client;
-            this.number = calls.incrementAndGet();
+            this.id = callCount.incrementAndGet();
             this.function = function;
             this.subject = subject;
             this.target = target;
@@ -54,19 +54,19 @@
         }
 
         private void end(Phase phase, String value) {
-            record(client, number, phase, function, subject, target, value);
+            record(client, id, phase, function, subject, target, value);
         }
     }
 
-    /** Records the begin of an operation. */
+    /** Records the start of a call. */
     Call invoke(int client, String function, String subject, String target) {
         Call call = new Call(client, function, subject, target);
-        record(client, call.number, Phase.INVOKE, function, subject, target, "");
+        record(client, call.id, Phase.INVOKE, function, subject, target, "");
         return call;
     }
 
-    /** Records something that the test did at once, such as a kill. */
-    void note(String function, String subject) {
+    /** Records an action of the test that took effect immediately, such as a kill. */
+    void recordAction(String function, String subject) {
         invoke(0, function, subject, "").ok("");
     }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Returns the events so far. */
+    /** Returns the events recorded so far. */
     synchronized List<HistoryEvent> history() {
         return List.copyOf(events);
     }
--- a/src/test/java/org/wigeongrade/proof/Http.java
+++ b/src/test/java/org/wigeongrade/proof/Http.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Plain HTTP calls of the process tests. Safe for use from any thread. */
+/** HTTP calls of the process tests. Safe for use from any thread. */
 final class Http {
-    /** Client of all calls. */
+    /** HTTP client shared by all calls. */
     static final HttpClient CLIENT = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofMillis(500))
@@ -19,7 +19,7 @@
 
     private Http() {}
 
-    /** Sends a call; throws {@link IOException} if no whole answer came in time. */
+    /** Sends a request; throws {@link IOException} if no complete response arrives in time. */
     static HttpResponse<String> send(
             String method, String address, String path, String body, Map<String, String> headers, long timeoutMs)
             throws IOException {
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Returns the status and text of a call; empty if no whole answer came. */
+    /** Sends a request and returns the response; empty if no complete response arrives within 3 seconds. */
     static Optional<HttpResponse<String>> trySend(String method, String address, String path, String body) {
         try {
             return Optional.of(send(method, address, path, body, Map.of(), 3_000));
@@ -44,10 +44,10 @@
         }
     }
 
-    /** Returns whether {@code GET /health} answers 200. */
+    /** Returns whether {@code GET /health} returns status 200. */
     static boolean isHealthy(String address) {
         return trySend("GET", address, "/health", "")
-                .map(answer -> answer.statusCode() == 200)
+                .map(response -> response.statusCode() == 200)
                 .orElse(false);
     }
 }
--- a/src/test/java/org/wigeongrade/proof/LoopbackPorts.java
+++ b/src/test/java/org/wigeongrade/proof/LoopbackPorts.java
@@ -8,38 +8,38 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Gives out free loopback ports below the range from which the system takes ports of outgoing connections.
+ * Allocates free loopback ports below the range of ephemeral ports that the system uses for outgoing connections.
  *
- * <p>Invariant: one process gets no port twice. Safe for use from any thread.
+ * <p>Invariant: no port is allocated twice in one process. Safe for use from any thread.
  */
 public final class LoopbackPorts {
     private static final int LOWEST = 10_000;
     private static final int HIGHEST = 32_000;
-    private static final Set<Integer> GIVEN = new HashSet<>();
+    private static final Set<Integer> ALLOCATED = new HashSet<>();
 
     private LoopbackPorts() {}
 
-    /** Returns a free port. */
+    /** Allocates a free port. */
     public static int free() {
         return freeRow(1);
     }
 
-    /** Returns the first of {@code count} consecutive free ports. */
+    /** Allocates {@code count} consecutive free ports and returns the first. */
     public static synchronized int freeRow(int count) {
         while (true) {
             int first = ThreadLocalRandom.current().nextInt(LOWEST, HIGHEST - count);
-            if (isFreeRow(first, count)) {
+            if (isRangeFree(first, count)) {
                 for (int port = first; port < first + count; port++) {
-                    GIVEN.add(port);
+                    ALLOCATED.add(port);
                 }
                 return first;
             }
         }
     }
 
-    private static boolean isFreeRow(int first, int count) {
+    private static boolean isRangeFree(int first, int count) {
         for (int port = first; port < first + count; port++) {
-            if (GIVEN.contains(port) || !isFree(port)) {
+            if (ALLOCATED.contains(port) || !isFree(port)) {
                 return false;
             }
         }
--- a/src/test/java/org/wigeongrade/proof/LostDiskProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/LostDiskProcessTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Control VMs lose their data folders one after another, and a second VM is lost right after a repair. */
+/** Control VMs lose their data folders one after another; another VM is killed right after the first repair. */
 @Tag("process")
 final class LostDiskProcessTest {
     private static final long IN_FORCE_MS = 5_000;
@@ -23,43 +23,46 @@
         try (ProcessFleet fleet = ProcessFleet.start(folder, 3, 0);
                 HistoryRecorder recorder = new HistoryRecorder(folder.resolve("history.jsonl"))) {
             final long acceptedBefore;
-            final long acceptedWithout;
-            try (RacingOperators operators = new RacingOperators(fleet.entries(), recorder)) {
+            final long acceptedWithoutEntry1;
+            try (ConcurrentOperators operators = new ConcurrentOperators(fleet.entryAddresses(), recorder)) {
                 operators.start(2);
                 Await.sleepMs(2_000);
                 loseDisk(fleet, recorder, "entry-2");
                 Await.sleepMs(REPAIR_MS);
                 fleet.process("entry-1").kill();
-                recorder.note("kill", "entry-1");
-                acceptedBefore = accepted(recorder);
-                Await.until("changes without entry-1", 10_000, () -> accepted(recorder) > acceptedBefore + 3);
-                acceptedWithout = accepted(recorder);
+                recorder.recordAction("kill", "entry-1");
+                acceptedBefore = acceptedChanges(recorder);
+                Await.until(
+                        "changes accepted without entry-1",
+                        10_000,
+                        () -> acceptedChanges(recorder) > acceptedBefore + 3);
+                acceptedWithoutEntry1 = acceptedChanges(recorder);
                 fleet.process("entry-1").restart();
-                Await.until("entry-1 is healthy", 15_000, () -> Http.isHealthy(fleet.entry("entry-1")));
+                Await.until("entry-1 is healthy", 15_000, () -> Http.isHealthy(fleet.entryAddress("entry-1")));
                 Await.sleepMs(REPAIR_MS);
                 loseDisk(fleet, recorder, "entry-3");
                 Await.sleepMs(REPAIR_MS);
             }
             Await.sleepMs(IN_FORCE_MS);
-            try (RacingOperators last = new RacingOperators(fleet.entries(), recorder)) {
-                fleet.entries().forEach(last::readOnce);
+            try (ConcurrentOperators finalReader = new ConcurrentOperators(fleet.entryAddresses(), recorder)) {
+                fleet.entryAddresses().forEach(finalReader::readOnce);
             }
             List<HistoryEvent> history = recorder.history();
-            assertThat(ConfigurationRegister.check(history, IN_FORCE_MS)).isEmpty();
-            assertThat(acceptedWithout).isGreaterThan(acceptedBefore);
-            assertThat(accepted(recorder)).isAtLeast(MIN_ACCEPTED);
+            assertThat(ConfigurationChecker.check(history, IN_FORCE_MS)).isEmpty();
+            assertThat(acceptedWithoutEntry1).isGreaterThan(acceptedBefore);
+            assertThat(acceptedChanges(recorder)).isAtLeast(MIN_ACCEPTED);
         }
     }
 
     private static void loseDisk(ProcessFleet fleet, HistoryRecorder recorder, String name) {
         fleet.process(name).kill();
-        fleet.loseDataFolder(name);
-        recorder.note("lost_disk", name);
+        fleet.deleteDataFolder(name);
+        recorder.recordAction("lost_disk", name);
         fleet.process(name).restart();
-        Await.until(name + " is healthy", 15_000, () -> Http.isHealthy(fleet.entry(name)));
+        Await.until(name + " is healthy", 15_000, () -> Http.isHealthy(fleet.entryAddress(name)));
     }
 
-    private static long accepted(HistoryRecorder recorder) {
-        return Histories.count(recorder.history(), ConfigurationRegister.APPLY, Phase.OK);
+    private static long acceptedChanges(HistoryRecorder recorder) {
+        return Histories.count(recorder.history(), ConfigurationChecker.APPLY, Phase.OK);
     }
 }
--- a/src/test/java/org/wigeongrade/proof/ManagedProcess.java
+++ b/src/test/java/org/wigeongrade/proof/ManagedProcess.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A child process of a test, with its output in a file. Signals go to its own process id only.
+ * A child process of a test, with its output in a file. Signals are sent only to its own process id.
  *
  * <p>Invariant: {@link #close} leaves no process behind. Safe for use from any thread.
  */
@@ -51,12 +51,12 @@
         return name;
     }
 
-    /** Starts the process anew; the one before must have ended. */
+    /** Starts the process again; the previous one must have ended. */
     public synchronized void restart() {
         start(command);
     }
 
-    /** Starts the process anew with a bound on the size of its files, as on a disk that is nearly full. */
+    /** Starts the process again with a limit on the size of its files, to simulate a disk that is nearly full. */
     public synchronized void restartWithFileLimit(int blocks) {
         List<String> limited = new ArrayList<>(List.of("sh", "-c", "ulimit -f " + blocks + "; exec \"$@\"", "sh"));
         limited.addAll(command);
@@ -65,7 +65,7 @@
 
     private void start(List<String> started) {
         if (process != null && process.isAlive()) {
-            throw new IllegalStateException(name + " still runs; end it before it is started again");
+            throw new IllegalStateException(name + " is still running; stop it before starting it again");
         }
         try {
             process = new ProcessBuilder(started)
@@ -77,23 +77,23 @@
         }
     }
 
-    /** Ends the process at once, as a lost VM does. */
+    /** Kills the process with SIGKILL, to simulate the loss of a VM. */
     public synchronized void kill() {
         process.destroyForcibly();
         awaitEnd(5_000);
     }
 
-    /** Asks the process to stop by SIGTERM. */
+    /** Sends SIGTERM, which asks the process to stop. */
     public synchronized void terminate() {
         process.destroy();
     }
 
-    /** Stops the process from running (SIGSTOP) without ending it. */
+    /** Suspends the process with SIGSTOP. */
     public void freeze() {
         signal("-STOP");
     }
 
-    /** Lets a frozen process run on. */
+    /** Resumes a frozen process with SIGCONT. */
     public void thaw() {
         signal("-CONT");
     }
@@ -140,7 +140,7 @@
         return process.exitValue();
     }
 
-    /** Returns what the process printed. */
+    /** Returns the output of the process, including that of earlier starts. */
     public String output() {
         try {
             return Files.exists(output) ? Files.readString(output) : "";
--- a/src/test/java/org/wigeongrade/proof/MemberOfAnotherGroup.java
+++ b/src/test/java/org/wigeongrade/proof/MemberOfAnotherGroupChecker.java
@@ -9,13 +9,13 @@
 import org.wigeongrade.standin.JournalEvent;
 
 /**
- * Finds requests that a group started while one of its members followed an order to join another group: that VM is then
- * in two groups at once. Stateless.
+ * Finds requests that a group started while one of its members had accepted an order to join another group, so that
+ * this VM was in two groups at once. Stateless.
  */
-final class MemberOfAnotherGroup {
-    private MemberOfAnotherGroup() {}
+final class MemberOfAnotherGroupChecker {
+    private MemberOfAnotherGroupChecker() {}
 
-    /** {@code journal} is that of all VMs in any order. */
+    /** Returns the violations in {@code journal}, which is that of all VMs in any order. */
     static List<Violation> check(List<JournalEntry> journal) {
         List<JournalEntry> ordered = journal.stream()
                 .sorted(Comparator.comparingLong(JournalEntry::atNanos))
@@ -24,7 +24,7 @@
         List<Violation> violations = new ArrayList<>();
         for (JournalEntry entry : ordered) {
             if (entry.event() == JournalEvent.ORDER) {
-                follow(groupOfVm, entry);
+                applyOrder(groupOfVm, entry);
             } else if (entry.event() == JournalEvent.STARTED && !entry.members().isEmpty()) {
                 addViolations(violations, groupOfVm, entry);
             }
@@ -32,7 +32,7 @@
         return violations;
     }
 
-    private static void follow(Map<String, String> groupOfVm, JournalEntry order) {
+    private static void applyOrder(Map<String, String> groupOfVm, JournalEntry order) {
         if (order.detail().startsWith("join ")) {
             groupOfVm.put(order.vm(), order.detail().substring("join ".length()));
         } else {
--- a/src/test/java/org/wigeongrade/proof/NotRunProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/NotRunProcessTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.wigeongrade.bench.Workload;
 
-/** Engines refuse, drop, cut and cross answers and die; what callers are told is compared with the engines' journals. */
+/**
+ * Engines refuse requests, drop responses, cut them short and send them with wrong ids; then one engine is killed.
+ * Compares the outcomes reported to the clients with the engines' journals.
+ */
 @Tag("process")
 final class NotRunProcessTest {
     private static final String FAULTS =
@@ -19,18 +22,21 @@
     Path folder;
 
     @Test
-    void saysNotRunOnlyWhenItIsTrue() throws Exception {
+    void reportsNotRunOnlyIfNothingRan() throws Exception {
         try (ProcessFleet fleet = ProcessFleet.start(folder, 3, 0);
                 HistoryRecorder recorder = new HistoryRecorder(folder.resolve("history.jsonl"))) {
             for (String vm : List.of("vm-1", "vm-2")) {
-                fleet.engines(vm, "--cold-requests", "2", "--capacity", "4");
+                fleet.startEngines(vm, "--cold-requests", "2", "--capacity", "4");
             }
-            long unused = fleet.apply(Operators.basics() + Operators.pool(2, 1, 4, 2, "zone-a"), 0, "change-1");
-            try (Callers callers = new Callers(fleet.entries(), recorder)) {
-                callers.startGenerating(8, Workload.CHAT, 6);
-                callers.startGenerating(8, Workload.COMPLETION_STREAM, 6);
+            long unused =
+                    fleet.apply(DeclaredSetToml.base() + DeclaredSetToml.pool(2, 1, 4, 2, "zone-a"), 0, "change-1");
+            try (ClientThreads clients = new ClientThreads(fleet.entryAddresses(), recorder)) {
+                clients.startGenerateClients(8, Workload.CHAT, 6);
+                clients.startGenerateClients(8, Workload.COMPLETION_STREAM, 6);
                 Await.until(
-                        "answers", 20_000, () -> Histories.count(recorder.history(), Callers.GENERATE, Phase.OK) > 40);
+                        "successful responses",
+                        20_000,
+                        () -> Histories.count(recorder.history(), ClientThreads.GENERATE, Phase.OK) > 40);
                 for (String vm : List.of("vm-1", "vm-2")) {
                     assertThat(Http.trySend("POST", fleet.standinAddress(vm), "/standin/faults", FAULTS))
                             .isPresent();
@@ -41,11 +47,12 @@
             }
 
             List<HistoryEvent> history = recorder.history();
-            assertThat(FalseNotRun.check(Callers.GENERATE, history, fleet.journal()))
+            assertThat(FalseNotRunChecker.check(ClientThreads.GENERATE, history, fleet.journal()))
                     .isEmpty();
-            assertThat(WrongAnswer.check(history)).isEmpty();
-            assertThat(Histories.count(history, Callers.GENERATE, Phase.FAIL)).isGreaterThan(0);
-            assertThat(Histories.count(history, Callers.GENERATE, Phase.UNKNOWN))
+            assertThat(WrongAnswerChecker.check(history)).isEmpty();
+            assertThat(Histories.count(history, ClientThreads.GENERATE, Phase.FAIL))
+                    .isGreaterThan(0);
+            assertThat(Histories.count(history, ClientThreads.GENERATE, Phase.UNKNOWN))
                     .isGreaterThan(0);
         }
     }
--- a/src/test/java/org/wigeongrade/proof/OkWithoutExecution.java
+++ b/src/test/java/org/wigeongrade/proof/OkWithoutExecutionChecker.java
@@ -7,11 +7,11 @@
 import org.wigeongrade.standin.JournalEvent;
 
 /**
- * Finds operations whose caller was told that they ran although no service executed them. A lost operation must not
- * look like a done one. Stateless.
+ * Finds operations that were reported to the client as done although no service executed them. A lost operation must
+ * not look like a completed one. Stateless.
  */
-final class OkWithoutExecution {
-    private OkWithoutExecution() {}
+final class OkWithoutExecutionChecker {
+    private OkWithoutExecutionChecker() {}
 
     static List<Violation> check(String function, List<HistoryEvent> history, List<JournalEntry> journal) {
         Set<String> executed = journal.stream()
@@ -21,7 +21,8 @@
         return history.stream()
                 .filter(event -> event.function().equals(function) && event.phase() == Phase.OK)
                 .filter(event -> !executed.contains(event.subject()))
-                .map(event -> new Violation("ok_without_execution", event.subject(), "told ok by " + event.target()))
+                .map(event ->
+                        new Violation("ok_without_execution", event.subject(), "reported ok by " + event.target()))
                 .toList();
     }
 }
--- a/src/test/java/org/wigeongrade/proof/Phase.java
+++ b/src/test/java/org/wigeongrade/proof/Phase.java
@@ -1,8 +1,8 @@
 package org.wigeongrade.proof;
 
-/** Phase of one recorded operation. */
+/** Phase of one recorded call. */
 enum Phase {
-    /** The client has begun the operation. */
+    /** The client has started the operation. */
     INVOKE,
     /** The operation is known to have taken effect. */
     OK,
--- a/src/test/java/org/wigeongrade/proof/ProcessFleet.java
+++ b/src/test/java/org/wigeongrade/proof/ProcessFleet.java
@@ -20,17 +20,17 @@
 import org.wigeongrade.standin.JournalEntry;
 
 /**
- * Separate processes on loopback: nodes of this system and stand-ins of the outside systems.
+ * Separate processes on loopback: nodes of this system and stand-ins for external systems.
  *
  * <p>Invariant: {@link #close} ends every process that the fleet started, by its id. Not safe for concurrent use while
  * processes are added.
  */
 final class ProcessFleet implements AutoCloseable {
-    private static final String MAIN = "org.wigeongrade.command.Main";
+    private static final String NODE_MAIN = "org.wigeongrade.command.Main";
     private static final String STANDIN_MAIN = "org.wigeongrade.standin.StandinMain";
 
     private final Path folder;
-    private final boolean cuttable;
+    private final boolean proxied;
     private final Map<String, NodePorts> nodes = new LinkedHashMap<>();
     private final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
     private final Map<String, CuttingProxy> proxies = new HashMap<>();
@@ -39,22 +39,22 @@
 
     private record NodePorts(boolean control, int listen, int peer, int log) {}
 
-    private ProcessFleet(Path folder, boolean cuttable) {
+    private ProcessFleet(Path folder, boolean proxied) {
         this.folder = folder;
-        this.cuttable = cuttable;
+        this.proxied = proxied;
     }
 
-    /** Starts {@code controls} control nodes and {@code others} more; {@code entry-1} is the first. */
-    static ProcessFleet start(Path folder, int controls, int others) {
-        return start(folder, controls, others, false);
+    /** Starts {@code controlNodes} control nodes and {@code otherNodes} others, named from {@code entry-1} on. */
+    static ProcessFleet start(Path folder, int controlNodes, int otherNodes) {
+        return start(folder, controlNodes, otherNodes, false);
     }
 
-    /** Starts nodes; with {@code cuttable}, connections between them pass through proxies. */
-    static ProcessFleet start(Path folder, int controls, int others, boolean cuttable) {
-        ProcessFleet fleet = new ProcessFleet(folder, cuttable);
-        for (int i = 1; i <= controls + others; i++) {
+    /** Starts nodes; if {@code proxied}, connections between them pass through proxies that can inject faults. */
+    static ProcessFleet start(Path folder, int controlNodes, int otherNodes, boolean proxied) {
+        ProcessFleet fleet = new ProcessFleet(folder, proxied);
+        for (int i = 1; i <= controlNodes + otherNodes; i++) {
             int first = LoopbackPorts.freeRow(3);
-            fleet.nodes.put("entry-" + i, new NodePorts(i <= controls, first, first + 1, first + 2));
+            fleet.nodes.put("entry-" + i, new NodePorts(i <= controlNodes, first, first + 1, first + 2));
         }
         try {
             fleet.startNodes();
@@ -70,12 +70,13 @@
             Path settings = folder.resolve(name + ".toml");
             write(settings, settings(name));
             processes.put(
-                    name, ManagedProcess.java(name, folder, MAIN, List.of("node", "--settings", settings.toString())));
+                    name,
+                    ManagedProcess.java(name, folder, NODE_MAIN, List.of("node", "--settings", settings.toString())));
         }
         Await.until(
-                "all nodes healthy\n" + outputs(),
+                "all nodes healthy\n" + recentOutputs(),
                 25_000,
-                () -> entries().stream().allMatch(Http::isHealthy));
+                () -> entryAddresses().stream().allMatch(Http::isHealthy));
     }
 
     private String settings(String name) {
@@ -106,10 +107,10 @@
     }
 
     private String address(String from, String to, int port) {
-        if (!cuttable || from.equals(to)) {
+        if (!proxied || from.equals(to)) {
             return "127.0.0.1:" + port;
         }
-        return proxies.computeIfAbsent(from + ">" + to + ":" + port, key -> newProxy(port))
+        return proxies.computeIfAbsent(from + ">" + to + ":" + port, linkName -> newProxy(port))
                 .address();
     }
 
@@ -125,46 +126,46 @@
         return List.of("zone-a", "zone-b", "zone-c").get((Integer.parseInt(name.substring("entry-".length())) - 1) % 3);
     }
 
-    /** Sets what becomes of connections between {@code name} and the other nodes, both ways. */
-    void cut(String name, CuttingProxy.Mode mode) {
-        proxies.forEach((key, proxy) -> {
-            if (key.startsWith(name + ">") || key.contains(">" + name + ":")) {
+    /** Sets how the proxies treat connections between {@code name} and the other nodes, in both directions. */
+    void setProxyMode(String name, CuttingProxy.Mode mode) {
+        proxies.forEach((linkName, proxy) -> {
+            if (linkName.startsWith(name + ">") || linkName.contains(">" + name + ":")) {
                 proxy.set(mode);
             }
         });
     }
 
-    /** Silences every open connection between nodes for good, while new ones pass. */
-    void silenceOpenConnections() {
-        proxies.values().forEach(CuttingProxy::silenceOpenConnections);
+    /** Black-holes every open connection between nodes for good; new ones are not affected. */
+    void blackholeOpenConnections() {
+        proxies.values().forEach(CuttingProxy::blackholeOpenConnections);
     }
 
-    /** Starts engine VMs in one process; {@code vms} are names with commas. Returns the process. */
-    ManagedProcess engines(String vms, String... arguments) {
-        return standin("engine", vms, arguments);
+    /** Starts engine VMs in one process, which is returned; {@code vms} are their names, separated by commas. */
+    ManagedProcess startEngines(String vms, String... arguments) {
+        return startStandin("engine", vms, arguments);
     }
 
-    /** Starts plain service VMs in one process. */
-    ManagedProcess services(String vms, String... arguments) {
-        return standin("service", vms, arguments);
+    /** Starts VMs of a plain service in one process, which is returned; {@code vms} are their names with commas. */
+    ManagedProcess startServices(String vms, String... arguments) {
+        return startStandin("service", vms, arguments);
     }
 
-    private ManagedProcess standin(String kind, String vms, String... arguments) {
+    private ManagedProcess startStandin(String kind, String vms, String... arguments) {
         int count = vms.split(",").length;
         int port = LoopbackPorts.freeRow(count);
         Path journal = folder.resolve(vms.replace(',', '_') + ".journal");
-        List<String> all = new ArrayList<>(List.of(
+        List<String> allArguments = new ArrayList<>(List.of(
                 kind,
                 "--vms",
                 vms,
                 "--listen",
                 "127.0.0.1:" + port,
                 "--entries",
-                String.join(",", entries()),
+                String.join(",", entryAddresses()),
                 "--journal",
                 journal.toString()));
-        all.addAll(Arrays.asList(arguments));
-        ManagedProcess process = ManagedProcess.java(vms, folder, STANDIN_MAIN, all);
+        allArguments.addAll(Arrays.asList(arguments));
+        ManagedProcess process = ManagedProcess.java(vms, folder, STANDIN_MAIN, allArguments);
         processes.put(vms, process);
         journals.put(vms, journal);
         standinAddresses.put(vms, "127.0.0.1:" + port);
@@ -172,14 +173,14 @@
     }
 
     /** Returns the HTTP addresses of all nodes. */
-    List<String> entries() {
+    List<String> entryAddresses() {
         return nodes.values().stream()
                 .map(ports -> "127.0.0.1:" + ports.listen())
                 .toList();
     }
 
     /** Returns the HTTP address of a node. */
-    String entry(String name) {
+    String entryAddress(String name) {
         return "127.0.0.1:" + nodes.get(name).listen();
     }
 
@@ -193,13 +194,13 @@
         return standinAddresses.get(vms);
     }
 
-    /** Returns the folder with a node's durable state. */
+    /** Returns the folder of a node's durable state. */
     Path dataFolder(String name) {
         return folder.resolve(name + "-data");
     }
 
-    /** Removes a node's durable state, as when its disk is lost; the node must not run. */
-    void loseDataFolder(String name) {
+    /** Deletes a node's durable state, to simulate a lost disk; the node must not be running. */
+    void deleteDataFolder(String name) {
         try (Stream<Path> files = Files.walk(dataFolder(name))) {
             files.sorted(Comparator.reverseOrder()).forEach(ProcessFleet::delete);
         } catch (IOException e) {
@@ -215,23 +216,27 @@
         }
     }
 
-    /** Applies a declared set on {@code baseRevision} and returns the new revision; fails if it is refused. */
-    long apply(String declared, long baseRevision, String changeId) {
+    /**
+     * Applies a declared set on {@code baseRevision} and returns the new revision. Retries status 503 and missing
+     * responses for 10 seconds; fails if the set is refused.
+     */
+    long apply(String declaredSet, long baseRevision, String changeId) {
         String path = "/v1/operator/apply?change_id=" + changeId + "&base_revision=" + baseRevision + "&operator=test";
         long deadlineNanos = System.nanoTime() + 10_000_000_000L;
-        Optional<HttpResponse<String>> answer = Http.trySend("POST", entries().get(0), path, declared);
-        while ((answer.isEmpty() || answer.get().statusCode() == 503) && System.nanoTime() < deadlineNanos) {
+        Optional<HttpResponse<String>> response =
+                Http.trySend("POST", entryAddresses().get(0), path, declaredSet);
+        while ((response.isEmpty() || response.get().statusCode() == 503) && System.nanoTime() < deadlineNanos) {
             Await.sleepMs(200);
-            answer = Http.trySend("POST", entries().get(0), path, declared);
+            response = Http.trySend("POST", entryAddresses().get(0), path, declaredSet);
         }
-        String text = answer.map(HttpResponse::body).orElse("no answer");
-        assertWithMessage("apply: %s", text)
-                .that(answer.map(HttpResponse::statusCode).orElse(0))
+        String responseBody = response.map(HttpResponse::body).orElse("no response");
+        assertWithMessage("apply: %s", responseBody)
+                .that(response.map(HttpResponse::statusCode).orElse(0))
                 .isEqualTo(200);
-        return Operators.revision(text);
+        return DeclaredSetToml.parseRevision(responseBody);
     }
 
-    /** Returns the journals of all stand-ins in the order of time. */
+    /** Returns the entries of all journals of the stand-ins in order of time. */
     List<JournalEntry> journal() {
         return journals.keySet().stream()
                 .flatMap(vms -> journal(vms).stream())
@@ -245,8 +250,8 @@
         return Files.exists(path) ? Journal.read(path) : List.of();
     }
 
-    /** Returns the last output of each process, for messages of failed tests. */
-    String outputs() {
+    /** Returns the last output of each process, for the messages of failed assertions. */
+    String recentOutputs() {
         StringBuilder text = new StringBuilder();
         processes.forEach((name, process) -> {
             String output = process.output();
--- a/src/test/java/org/wigeongrade/proof/ServedWithMissingMember.java
+++ b/src/test/java/org/wigeongrade/proof/ServedWithMissingMemberChecker.java
@@ -10,10 +10,13 @@
 /**
  * Finds requests that a group started more than a grace time after one of its members died. Stateless.
  */
-final class ServedWithMissingMember {
-    private ServedWithMissingMember() {}
+final class ServedWithMissingMemberChecker {
+    private ServedWithMissingMemberChecker() {}
 
-    /** {@code journal} is that of all VMs; {@code deadVm} died at {@code diedNanos} and stayed dead. */
+    /**
+     * Returns the violations in {@code journal}, which is that of all VMs; {@code deadVm} died at {@code diedNanos} and
+     * did not restart.
+     */
     static List<Violation> check(List<JournalEntry> journal, String deadVm, long diedNanos, long graceMs) {
         long deadlineNanos = diedNanos + TimeUnit.MILLISECONDS.toNanos(graceMs);
         List<Violation> violations = new ArrayList<>();
@@ -32,7 +35,7 @@
         return violations;
     }
 
-    /** Returns the time of the last start in a group with {@code deadVm} after its death; empty if there is none. */
+    /** Returns when a group with {@code deadVm} last started a request after that VM died; empty if it never did. */
     static Optional<Long> lastStartNanos(List<JournalEntry> journal, String deadVm, long diedNanos) {
         return journal.stream()
                 .filter(entry -> entry.event() == JournalEvent.STARTED
--- a/src/test/java/org/wigeongrade/proof/Violation.java
+++ b/src/test/java/org/wigeongrade/proof/Violation.java
@@ -1,9 +1,11 @@
 package org.wigeongrade.proof;
 
-/** One breach of a rule: which, of what, and what was seen. Immutable; safe for use from any thread. */
-record Violation(String rule, String subject, String seen) {
+/**
+ * One violation of a rule: the rule, what violated it, and what was observed. Immutable; safe for use from any thread.
+ */
+record Violation(String rule, String subject, String observed) {
     @Override
     public String toString() {
-        return rule + ": " + subject + ": " + seen;
+        return rule + ": " + subject + ": " + observed;
     }
 }
--- a/src/test/java/org/wigeongrade/proof/WrongAnswer.java
+++ b/src/test/java/org/wigeongrade/proof/WrongAnswerChecker.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * Finds answers with success status that were not the whole answer to the caller's own request. Stateless.
+ * Finds responses with success status that were incomplete or did not match the client's own request. Stateless.
  */
-final class WrongAnswer {
+final class WrongAnswerChecker {
     private static final Set<String> CODES = Set.of("wrong_answer", "cut_short");
 
-    private WrongAnswer() {}
+    private WrongAnswerChecker() {}
 
     static List<Violation> check(List<HistoryEvent> history) {
         return history.stream()
--- a/src/test/java/org/wigeongrade/proof/ZoneOutProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/ZoneOutProcessTest.java
@@ -16,28 +16,28 @@
 import org.wigeongrade.standin.JournalEntry;
 import org.wigeongrade.standin.JournalEvent;
 
-/** An availability zone is taken out under load while one entry VM cannot hear of it. */
+/** Takes an availability zone out under load while one entry VM is isolated and cannot learn of it. */
 @Tag("process")
 final class ZoneOutProcessTest {
     private static final long IN_FORCE_MS = 5_000;
-    private static final long DEAF_MS = IN_FORCE_MS + 2_000;
+    private static final long ISOLATED_MS = IN_FORCE_MS + 2_000;
 
-    /** What happens to the entry VM. */
-    enum Deafness {
+    /** How the entry VM is isolated. */
+    enum Isolation {
         FROZEN,
-        CUT_IN_SILENCE;
+        BLACKHOLED;
 
         void begin(ProcessFleet fleet, String entry) {
             switch (this) {
                 case FROZEN -> fleet.process(entry).freeze();
-                case CUT_IN_SILENCE -> fleet.cut(entry, CuttingProxy.Mode.SILENT);
+                case BLACKHOLED -> fleet.setProxyMode(entry, CuttingProxy.Mode.SILENT);
             }
         }
 
         void end(ProcessFleet fleet, String entry) {
             switch (this) {
                 case FROZEN -> fleet.process(entry).thaw();
-                case CUT_IN_SILENCE -> fleet.cut(entry, CuttingProxy.Mode.PASS);
+                case BLACKHOLED -> fleet.setProxyMode(entry, CuttingProxy.Mode.PASS);
             }
         }
     }
@@ -46,53 +46,57 @@
     Path folder;
 
     @ParameterizedTest
-    @EnumSource(Deafness.class)
-    void getsNoNewWorkAfterFiveSeconds(Deafness deafness) throws Exception {
+    @EnumSource(Isolation.class)
+    void zoneGetsNoNewWorkAfterFiveSeconds(Isolation isolation) throws Exception {
         try (ProcessFleet fleet = ProcessFleet.start(folder, 3, 0, true);
                 HistoryRecorder recorder = new HistoryRecorder(folder.resolve("history.jsonl"))) {
-            fleet.engines(
+            fleet.startEngines(
                     "vm-a,vm-b,vm-c", "--zone", "zone-a,zone-b,zone-c", "--domain", "da,db,dc", "--cold-requests", "2");
-            String declared = Operators.basics() + Operators.pool(3, 1, 8, 2, "zone-a", "zone-b", "zone-c");
-            long unused = fleet.apply(declared, 0, "change-1");
-            try (Callers callers = new Callers(fleet.entries(), recorder)) {
-                callers.startGenerating(6, Workload.CHAT, 6);
-                Await.until("work in zone-a through entry-3", 20_000, () -> sentThrough(fleet, recorder, "entry-3"));
-                deafness.begin(fleet, "entry-3");
-                zone(fleet, "out", "change-2");
+            String declaredSet =
+                    DeclaredSetToml.base() + DeclaredSetToml.pool(3, 1, 8, 2, "zone-a", "zone-b", "zone-c");
+            long unused = fleet.apply(declaredSet, 0, "change-1");
+            try (ClientThreads clients = new ClientThreads(fleet.entryAddresses(), recorder)) {
+                clients.startGenerateClients(6, Workload.CHAT, 6);
+                Await.until(
+                        "a request through entry-3 ran in zone-a",
+                        20_000,
+                        () -> hasSentToZoneA(fleet, recorder, "entry-3"));
+                isolation.begin(fleet, "entry-3");
+                setZone(fleet, "out", "change-2");
                 long outNanos = System.nanoTime();
-                Await.sleepMs(DEAF_MS);
-                deafness.end(fleet, "entry-3");
+                Await.sleepMs(ISOLATED_MS);
+                isolation.end(fleet, "entry-3");
                 Await.sleepMs(2_000);
                 long inNanos = System.nanoTime();
-                zone(fleet, "in", "change-3");
+                setZone(fleet, "in", "change-3");
 
                 List<JournalEntry> journal = fleet.journal();
-                WorkAfterDeadline.Ban ban =
-                        WorkAfterDeadline.Ban.after("zone-a is out", Set.of("vm-a"), outNanos, IN_FORCE_MS, inNanos);
-                assertThat(WorkAfterDeadline.check(journal, ban)).isEmpty();
-                assertThat(startsAfter(journal, "vm-b", outNanos)).isGreaterThan(0);
+                WorkAfterDeadlineChecker.ExclusionWindow window = WorkAfterDeadlineChecker.ExclusionWindow.after(
+                        "zone-a is out", Set.of("vm-a"), outNanos, IN_FORCE_MS, inNanos);
+                assertThat(WorkAfterDeadlineChecker.check(journal, window)).isEmpty();
+                assertThat(countStartsAfter(journal, "vm-b", outNanos)).isGreaterThan(0);
                 awaitWork(fleet, inNanos);
             }
-            assertThat(WrongAnswer.check(recorder.history())).isEmpty();
+            assertThat(WrongAnswerChecker.check(recorder.history())).isEmpty();
         }
     }
 
-    /** Returns whether the entry VM holds a share of the zone's endpoint, as it sent work there lately. */
-    private static boolean sentThrough(ProcessFleet fleet, HistoryRecorder recorder, String entry) {
-        Set<String> atZone = Histories.startedOperations(fleet.journal().stream()
+    /** Returns whether a request through {@code entry} ran in zone-a, which shows that it holds a share of vm-a. */
+    private static boolean hasSentToZoneA(ProcessFleet fleet, HistoryRecorder recorder, String entry) {
+        Set<String> startedInZoneA = Histories.startedOperations(fleet.journal().stream()
                 .filter(started -> started.vm().equals("vm-a"))
                 .toList());
         return recorder.history().stream()
                 .anyMatch(event -> event.phase() == Phase.OK
-                        && event.target().equals(fleet.entry(entry))
-                        && atZone.contains(event.subject()));
+                        && event.target().equals(fleet.entryAddress(entry))
+                        && startedInZoneA.contains(event.subject()));
     }
 
     private static void awaitWork(ProcessFleet fleet, long sinceNanos) {
-        Await.until("work in zone-a", 15_000, () -> startsAfter(fleet.journal(), "vm-a", sinceNanos) > 0);
+        Await.until("new requests in zone-a", 15_000, () -> countStartsAfter(fleet.journal(), "vm-a", sinceNanos) > 0);
     }
 
-    private static long startsAfter(List<JournalEntry> journal, String vm, long sinceNanos) {
+    private static long countStartsAfter(List<JournalEntry> journal, String vm, long sinceNanos) {
         return journal.stream()
                 .filter(entry ->
                         entry.event() == JournalEvent.STARTED && entry.vm().equals(vm))
@@ -100,17 +104,17 @@
                 .count();
     }
 
-    private static void zone(ProcessFleet fleet, String verb, String changeId) {
+    private static void setZone(ProcessFleet fleet, String verb, String changeId) {
         String path = "/v1/operator/zones/zone-a/" + verb + "?change_id=" + changeId + "&operator=test";
-        Optional<HttpResponse<String>> answer = Optional.empty();
-        for (int i = 0; i < 20 && answer.map(HttpResponse::statusCode).orElse(0) != 200; i++) {
-            answer = Http.trySend("POST", fleet.entry("entry-" + (i % 2 + 1)), path, "");
-            if (answer.map(HttpResponse::statusCode).orElse(0) != 200) {
+        Optional<HttpResponse<String>> response = Optional.empty();
+        for (int i = 0; i < 20 && response.map(HttpResponse::statusCode).orElse(0) != 200; i++) {
+            response = Http.trySend("POST", fleet.entryAddress("entry-" + (i % 2 + 1)), path, "");
+            if (response.map(HttpResponse::statusCode).orElse(0) != 200) {
                 Await.sleepMs(200);
             }
         }
-        assertWithMessage(answer.map(HttpResponse::body).orElse("no answer"))
-                .that(answer.map(HttpResponse::statusCode).orElse(0))
+        assertWithMessage(response.map(HttpResponse::body).orElse("no response"))
+                .that(response.map(HttpResponse::statusCode).orElse(0))
                 .isEqualTo(200);
     }
 }
--- a/src/test/java/org/wigeongrade/proof/package-info.java
+++ b/src/test/java/org/wigeongrade/proof/package-info.java
@@ -1,2 +1,4 @@
-/** Proofs by history: recorder, checkers, and failure tests over separate processes. */
+/**
+ * Tests with recorded histories: the recorder, consistency checkers, and fault injection tests on separate processes.
+ */
 package org.wigeongrade.proof;
--- a/src/test/java/org/wigeongrade/standin/EngineVmTest.java
+++ b/src/test/java/org/wigeongrade/standin/EngineVmTest.java
@@ -13,7 +13,7 @@
     private final ManualTimer timer = new ManualTimer();
     private final Journal journal = Journal.inMemory();
 
-    @ParameterizedTest(name = "fencing checked {0}, order {1}.{2} after 2.5: followed {3}")
+    @ParameterizedTest(name = "fencing checked {0}, order {1}.{2} after 2.5: accepted {3}")
     @CsvSource({
         "true,  1, 9, false",
         "true,  2, 4, false",
@@ -22,34 +22,35 @@
         "true,  3, 1, true",
         "false, 1, 9, true",
     })
-    void refusesOldOrdersOnlyWhenItChecksThem(boolean checked, long term, long sequence, boolean followed) {
-        EngineVm engine = engine(checked, 2);
-        assertThat(engine.follow(join("vm-1", 2, 5))).isTrue();
+    void refusesStaleOrdersOnlyIfItChecksFencingTokens(
+            boolean fencingChecked, long term, long sequence, boolean accepted) {
+        EngineVm engine = engine(fencingChecked, 2);
+        assertThat(engine.handleOrder(join("vm-1", 2, 5))).isTrue();
 
-        assertThat(engine.follow(join("vm-1", term, sequence))).isEqualTo(followed);
+        assertThat(engine.handleOrder(join("vm-1", term, sequence))).isEqualTo(accepted);
     }
 
     @Test
     void refusesBeforeItsModelIsLoaded() {
         EngineVm engine = engine(true, 2);
-        assertThat(engine.follow(join("vm-1", 1, 1))).isTrue();
+        assertThat(engine.handleOrder(join("vm-1", 1, 1))).isTrue();
 
         assertThat(engine.admit("a", prompt("x", 3), 0)).isEqualTo(new Admission.Refused(503, "not_serving"));
         timer.advanceMs(500);
-        assertThat(engine.admit("a", prompt("x", 3), 0)).isInstanceOf(Admission.Taken.class);
+        assertThat(engine.admit("a", prompt("x", 3), 0)).isInstanceOf(Admission.Admitted.class);
     }
 
     @Test
     void refusesRequestsUnlessItIsTheFirstMember() {
         EngineVm engine = engine(true, 2);
-        assertThat(engine.follow(join("vm-0", 1, 1))).isTrue();
+        assertThat(engine.handleOrder(join("vm-0", 1, 1))).isTrue();
         timer.advanceMs(500);
 
         assertThat(engine.admit("a", prompt("x", 3), 0)).isEqualTo(new Admission.Refused(503, "not_first_member"));
     }
 
     @Test
-    void isWarmAfterItsColdRequests() {
+    void turnsWarmAfterItsColdRequests() {
         EngineVm engine = coldEngine(2);
 
         for (int i = 0; i < 4; i++) {
@@ -60,7 +61,7 @@
         assertThat(engine.announcement().orElseThrow().state()).isEqualTo("warm");
     }
 
-    @ParameterizedTest(name = "{0} requests at once with cold capacity 2: fails {1}")
+    @ParameterizedTest(name = "{0} concurrent requests with cold capacity 2: fails {1}")
     @CsvSource({"1, false", "2, false", "3, true"})
     void failsAboveItsColdCapacity(int requests, boolean fails) {
         EngineVm engine = coldEngine(2);
@@ -70,20 +71,20 @@
         }
 
         assertThat(admissions.contains(new Admission.Down())).isEqualTo(fails);
-        assertThat(journal.text().contains("fell_over")).isEqualTo(fails);
+        assertThat(journal.toJsonLines().contains("fell_over")).isEqualTo(fails);
         assertThat(engine.announcement().isEmpty()).isEqualTo(fails);
     }
 
     @Test
-    void comesBackUnderALargerIncarnation() {
+    void restartsWithALargerIncarnation() {
         EngineVm engine = coldEngine(2);
         long before = engine.announcement().orElseThrow().incarnation();
-        Admission.Taken taken = (Admission.Taken) engine.admit("a", prompt("crash-engine", 2), 0);
-        Collector collector = new Collector();
-        taken.generation().open(collector);
+        Admission.Admitted admitted = (Admission.Admitted) engine.admit("a", prompt("crash-engine", 2), 0);
+        CollectingListener listener = new CollectingListener();
+        admitted.generation().start(listener);
         timer.advanceMs(50);
         assertThat(engine.announcement()).isEmpty();
-        assertThat(collector.outcome).isEqualTo(JournalEvent.CUT_SHORT);
+        assertThat(listener.outcome).isEqualTo(JournalEvent.CUT_SHORT);
 
         timer.advanceMs(1_000);
 
@@ -95,15 +96,15 @@
     @CsvSource({"0", "7", "10", "28"})
     void continuesExactlyAfterTheTextAlreadySent(int sentChars) {
         EngineVm engine = coldEngine(2);
-        String whole = prompt("x", 4).wholeAnswer();
+        String fullResponse = prompt("x", 4).fullResponse();
 
-        Collector collector = run(engine, prompt("x", 4, whole.substring(0, sentChars)));
+        CollectingListener listener = run(engine, prompt("x", 4, fullResponse.substring(0, sentChars)));
 
-        assertThat(whole.substring(0, sentChars) + collector.text).isEqualTo(whole);
+        assertThat(fullResponse.substring(0, sentChars) + listener.text).isEqualTo(fullResponse);
     }
 
     @Test
-    void refusesToContinueAfterTheTextOfAnotherAnswer() {
+    void refusesToContinueTheTextOfAnotherResponse() {
         EngineVm engine = coldEngine(2);
 
         assertThat(engine.admit("a", prompt("x", 4, "another"), 0))
@@ -111,7 +112,7 @@
     }
 
     @Test
-    void cutsAnswersShortWhenToldTo() {
+    void cutsResponsesShortIfTheFaultIsSet() {
         EngineVm engine = coldEngine(2);
         engine.apply(new Faults(0, 0, 1, 0, 0, false, false, false));
 
@@ -120,7 +121,7 @@
 
     private EngineVm coldEngine(int coldCapacity) {
         EngineVm engine = engine(true, coldCapacity);
-        assertThat(engine.follow(join("vm-1", 1, 1))).isTrue();
+        assertThat(engine.handleOrder(join("vm-1", 1, 1))).isTrue();
         timer.advanceMs(500);
         return engine;
     }
@@ -151,11 +152,11 @@
         return new EngineOrder("join", "pool/1", List.of(first, "vm-1"), "v1", "w", term, sequence);
     }
 
-    private Collector run(EngineVm engine, Prompt prompt) {
-        Collector collector = new Collector();
-        ((Admission.Taken) engine.admit("a", prompt, 0)).generation().open(collector);
+    private CollectingListener run(EngineVm engine, Prompt prompt) {
+        CollectingListener listener = new CollectingListener();
+        ((Admission.Admitted) engine.admit("a", prompt, 0)).generation().start(listener);
         timer.advanceMs(200);
-        return collector;
+        return listener;
     }
 
     private static Prompt prompt(String text, int tokens) {
@@ -168,18 +169,18 @@
         return Prompt.of(body).orElseThrow();
     }
 
-    private static final class Collector implements Generation.Listener {
+    private static final class CollectingListener implements Generation.Listener {
         private String text = "";
         private JournalEvent outcome;
 
         @Override
-        public void token(String token) {
+        public void onToken(String token) {
             text += token;
         }
 
         @Override
-        public void ended(JournalEvent end) {
-            outcome = end;
+        public void onEnd(JournalEvent newOutcome) {
+            outcome = newOutcome;
         }
     }
 }
--- a/src/test/java/org/wigeongrade/standin/ManualTimer.java
+++ b/src/test/java/org/wigeongrade/standin/ManualTimer.java
@@ -8,14 +8,16 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** A timer with virtual time: tasks run in the thread that calls {@link #advanceMs}. Not safe for concurrent use. */
+/**
+ * An executor with virtual time: tasks run in the thread that calls {@link #advanceMs}. Not safe for concurrent use.
+ */
 final class ManualTimer extends ScheduledThreadPoolExecutor {
-    private record Task(long atMs, long number, Runnable action) {}
+    private record Task(long atMs, long sequence, Runnable action) {}
 
     private final PriorityQueue<Task> tasks =
-            new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::number));
+            new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::sequence));
     private long nowMs;
-    private long scheduled;
+    private long scheduledCount;
 
     ManualTimer() {
         super(0);
@@ -38,17 +40,18 @@
 
     @Override
     public ScheduledFuture<?> schedule(Runnable action, long delay, TimeUnit unit) {
-        scheduled++;
-        tasks.add(new Task(nowMs + unit.toMillis(delay), scheduled, action));
-        return new NoFuture();
+        scheduledCount++;
+        tasks.add(new Task(nowMs + unit.toMillis(delay), scheduledCount, action));
+        return new UnusableFuture();
     }
 
-    /** A future that nobody may ask. */
-    private static final class NoFuture extends java.util.concurrent.FutureTask<Void> implements ScheduledFuture<Void> {
-        private static final Callable<Void> NOTHING = () -> null;
+    /** A placeholder future: it never completes and does not reflect its task. */
+    private static final class UnusableFuture extends java.util.concurrent.FutureTask<Void>
+            implements ScheduledFuture<Void> {
+        private static final Callable<Void> NO_OP = () -> null;
 
-        NoFuture() {
-            super(NOTHING);
+        UnusableFuture() {
+            super(NO_OP);
         }
 
         @Override
--- a/src/test/java/org/wigeongrade/standin/PrefixCacheTest.java
+++ b/src/test/java/org/wigeongrade/standin/PrefixCacheTest.java
@@ -7,7 +7,7 @@
 
 final class PrefixCacheTest {
     @Test
-    void promptsWithOnePrefixShareItsDigests() {
+    void promptsWithTheSamePrefixShareItsDigests() {
         String prefix = "p".repeat(2 * PrefixCache.BLOCK_CHARS);
 
         assertThat(PrefixCache.blockDigests(prompt(prefix + "one")))
@@ -20,16 +20,16 @@
         Prompt first = prompt("a".repeat(PrefixCache.BLOCK_CHARS));
         Prompt second = prompt("b".repeat(PrefixCache.BLOCK_CHARS));
 
-        assertThat(cache.use(first)).isEqualTo(1);
-        assertThat(cache.use(first)).isEqualTo(0);
-        assertThat(cache.use(second)).isEqualTo(1);
-        assertThat(cache.use(first)).isEqualTo(1);
+        assertThat(cache.insert(first)).isEqualTo(1);
+        assertThat(cache.insert(first)).isEqualTo(0);
+        assertThat(cache.insert(second)).isEqualTo(1);
+        assertThat(cache.insert(first)).isEqualTo(1);
 
-        List<PrefixCache.Event> batch = cache.takeEvents(10);
+        List<PrefixCache.Event> batch = cache.pollEvents(10);
         assertThat(batch.stream().map(PrefixCache.Event::added))
                 .containsExactly(true, true, false)
                 .inOrder();
-        assertThat(cache.takeEvents(10).stream().map(PrefixCache.Event::added))
+        assertThat(cache.pollEvents(10).stream().map(PrefixCache.Event::added))
                 .containsExactly(true, false)
                 .inOrder();
     }
