--- a/src/main/java/org/wigeongrade/fleet/entry/EntryServices.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EntryServices.java
@@ -3,8 +3,8 @@
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 import org.wigeongrade.decisions.balancing.Balancer;
-import org.wigeongrade.decisions.balancing.RetryAllowance;
-import org.wigeongrade.fleet.net.EventLoop;
+import org.wigeongrade.decisions.balancing.RetryBudgetShare;
+import org.wigeongrade.fleet.net.SharedEventLoop;
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.logging.EventLog;
 import org.wigeongrade.metrics.Metrics;
@@ -16,12 +16,12 @@
  */
 record EntryServices(
         AvailabilityZone zone,
-        EventLoop loop,
+        SharedEventLoop loop,
         CallerCodec codec,
         EndpointRegistry registry,
         EndpointConnectionPool connectionPool,
         Balancer balancer,
-        RetryAllowance retryBudget,
+        RetryBudgetShare retryBudget,
         ColdStartLimits coldStartLimits,
         RandomGenerator random,
         EventLog events,
--- a/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import org.wigeongrade.decisions.balancing.BalancedRequest;
 import org.wigeongrade.decisions.balancing.EndpointLoad;
 import org.wigeongrade.decisions.balancing.Placement;
+import org.wigeongrade.decisions.balancing.PlacementRequest;
 import org.wigeongrade.decisions.published.PublishedConfiguration;
 import org.wigeongrade.decisions.published.PublishedService;
 import org.wigeongrade.decisions.published.Route;
@@ -65,7 +65,7 @@
 
     /** Routes and sends the request, or responds with an error. */
     void start() {
-        services.retryBudget().requested(log.arrivedNanos());
+        services.retryBudget().recordRequest(log.arrivedNanos());
         final Optional<PublishedConfiguration> configuration =
                 services.registry().view().configuration();
         if (configuration.isEmpty()) {
@@ -100,8 +100,7 @@
     }
 
     private void setDeadline(Route matched) {
-        final long waitMs =
-                Math.min(matched.timeoutMs(), request.callerWaitsMs().orElse(matched.timeoutMs()));
+        final long waitMs = Math.min(matched.timeoutMs(), request.timeoutMs().orElse(matched.timeoutMs()));
         deadlineNanos = log.arrivedNanos() + TimeUnit.MILLISECONDS.toNanos(waitMs);
         deadlineTimer =
                 Optional.of(services.loop().eventLoop().schedule(this::onDeadline, waitMs, TimeUnit.MILLISECONDS));
@@ -119,7 +118,7 @@
                     ErrorKind.STOPPING.retryAfterMs());
             return false;
         }
-        organisation = request.key().flatMap(configuration::organisationOf);
+        organisation = request.apiKey().flatMap(configuration::organisationOf);
         if (organisation.isEmpty()) {
             fail(ErrorKind.UNAUTHENTICATED, "the API key does not belong to an organisation");
         }
@@ -175,7 +174,7 @@
         final Optional<ModelVersionName> model = model();
         return services.balancer()
                 .place(
-                        new BalancedRequest(
+                        new PlacementRequest(
                                 request.promptTokens(),
                                 route.orElseThrow().targetLatencyMs(),
                                 route.get().targetPauseMs(),
@@ -198,12 +197,12 @@
         final EndpointAttempt attempt = new EndpointAttempt(
                 this, endpoint, services.registry().engine(model()), placement.predictedMs(), nowNanos);
         currentAttempt = Optional.of(attempt);
-        endpoint.sent(nowNanos);
-        final SendTerms metadata =
-                new SendTerms(remainingMs, endpoint.vm().vm(), organisation, stream.resumeAfter(request));
+        endpoint.recordSent(nowNanos);
+        final ForwardingMetadata metadata =
+                new ForwardingMetadata(remainingMs, endpoint.vm().vm(), organisation, stream.resumeAfter(request));
         attempt.start(
                 services.codec().encode(request, metadata, endpoint.address()),
-                route.get().mayRepeat());
+                route.get().mayRetry());
     }
 
     private Optional<ModelVersionName> model() {
@@ -280,7 +279,7 @@
     void mayHaveRun(EndpointAttempt attempt, RetryReason reason, String cause) {
         currentAttempt = Optional.empty();
         mayHaveRun++;
-        final boolean retryable = route.orElseThrow().mayRepeat()
+        final boolean retryable = route.orElseThrow().mayRetry()
                 && mayHaveRun < route.get().maxAttempts()
                 && attempts < MAX_ATTEMPTS
                 && stream.isResumable();
@@ -288,7 +287,7 @@
             retry(attempt, reason, cause);
             return;
         }
-        failOrRefuse(route.get().mayRepeat() ? ErrorKind.ENDPOINT_FAILED : ErrorKind.OUTCOME_UNKNOWN, cause, 0);
+        failOrRefuse(route.get().mayRetry() ? ErrorKind.ENDPOINT_FAILED : ErrorKind.OUTCOME_UNKNOWN, cause, 0);
     }
 
     /** Handles a complete error response of an endpoint; it is forwarded to the caller if no retry succeeds. */
@@ -319,7 +318,7 @@
     private boolean canFailOver() {
         final long nowNanos = services.nowNanos();
         final long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - nowNanos);
-        return route.orElseThrow().mayRepeat()
+        return route.orElseThrow().mayRetry()
                 && mayHaveRun + 1 < route.get().maxAttempts()
                 && attempts < MAX_ATTEMPTS
                 && remainingMs >= MIN_ATTEMPT_MS
@@ -333,7 +332,7 @@
     }
 
     private boolean tryReserveRetry() {
-        return services.retryBudget().tryRepeat(services.registry().view().entryNodes(), services.nowNanos());
+        return services.retryBudget().tryRetry(services.registry().view().entryNodes(), services.nowNanos());
     }
 
     private void retry(EndpointAttempt attempt, RetryReason reason, String cause) {
@@ -375,7 +374,7 @@
     private void failOrRefuse(ErrorKind kind, String cause, long retryAfterMs) {
         if (mayHaveRun > 0) {
             fail(
-                    route.orElseThrow().mayRepeat() ? ErrorKind.ENDPOINT_FAILED : ErrorKind.OUTCOME_UNKNOWN,
+                    route.orElseThrow().mayRetry() ? ErrorKind.ENDPOINT_FAILED : ErrorKind.OUTCOME_UNKNOWN,
                     kind.code() + ", " + cause,
                     0);
             return;
--- a/src/main/java/org/wigeongrade/fleet/entry/ExchangeLog.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/ExchangeLog.java
@@ -24,7 +24,7 @@
         this.services = services;
         this.requestLogId = request.logId();
         this.arrivedNanos = services.nowNanos();
-        services.metrics().requestArrived();
+        services.metrics().incrementInFlight();
     }
 
     long arrivedNanos() {
@@ -44,7 +44,7 @@
                         organisation.map(OrganisationName::value).orElse(ABSENT),
                         route,
                         endpoint.vm(),
-                        endpoint.running(),
+                        endpoint.totalInFlight(),
                         Math.round(placement.predictedMs()),
                         placement.candidates(),
                         viewAgeMs(),
@@ -53,7 +53,7 @@
     }
 
     void retried(EndpointLoad endpoint, RetryReason reason, String cause, boolean resumed) {
-        services.metrics().retried(reason);
+        services.metrics().countRetry(reason);
         services.events()
                 .write(
                         resumed ? LogEvent.STREAM_RESUMED : LogEvent.REQUEST_RETRIED,
@@ -65,7 +65,7 @@
     void firstBytesSent() {
         if (firstBytesNanos == 0) {
             firstBytesNanos = services.nowNanos();
-            services.metrics().firstByteSent(firstBytesNanos - arrivedNanos);
+            services.metrics().recordTimeToFirstByte(firstBytesNanos - arrivedNanos);
         }
     }
 
@@ -92,13 +92,13 @@
                         kind.code(),
                         cause + "; after " + elapsedMs() + " ms, view " + viewAgeMs() + " ms old, retry after "
                                 + retryAfterMs + " ms");
-        services.metrics().refused(kind);
+        services.metrics().countRefusal(kind);
         ended(RequestOutcome.REFUSED);
     }
 
     void failed(ErrorKind kind, String cause) {
         services.events().write(LogEvent.REQUEST_FAILED, requestLogId, kind.code(), elapsedMs(), cause);
-        services.metrics().refused(kind);
+        services.metrics().countRefusal(kind);
         ended(RequestOutcome.FAILED);
     }
 
@@ -119,7 +119,7 @@
     }
 
     private void ended(RequestOutcome outcome) {
-        services.metrics().requestLeft();
-        services.metrics().requestEnded(services.zone(), outcome, services.nowNanos() - arrivedNanos);
+        services.metrics().decrementInFlight();
+        services.metrics().recordRequest(services.zone(), outcome, services.nowNanos() - arrivedNanos);
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/SendTerms.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/ForwardingMetadata.java
@@ -14,5 +14,5 @@
  * @param organisation the organisation that owns the caller's API key
  * @param resumeAfter id of the last event that the caller has, if the endpoint must continue a stream after it
  */
-public record SendTerms(
+public record ForwardingMetadata(
         long remainingMs, VmName vm, Optional<OrganisationName> organisation, OptionalLong resumeAfter) {}
--- a/src/main/java/org/wigeongrade/fleet/entry/RelayedStream.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/RelayedStream.java
@@ -41,7 +41,7 @@
     }
 
     /** Forwards the status and headers unless that was done; a stream keeps those of its first endpoint. */
-    void begin(AnswerHead head, ResponseWriter responseWriter) {
+    void begin(ResponseHead head, ResponseWriter responseWriter) {
         if (!begun) {
             begun = true;
             status = head.status();
--- a/src/main/java/org/wigeongrade/fleet/entry/AnswerHead.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/ResponseHead.java
@@ -11,17 +11,17 @@
  * @param attemptId id of the request that the response belongs to, if the endpoint stated it
  * @param notRun whether the endpoint stated that it did not run the request
  * @param signed whether the endpoint signed the response
- * @param encoded whether the body has a content encoding, so that it is not the body that the endpoint sent
+ * @param contentEncoded whether the body has a content encoding, so that it is not the body that the endpoint sent
  * @param faultyVm VM that the endpoint named as the cause of its refusal
  * @param reusableForMs how long the connection may stay idle before it is reused; absent if it must not be reused
  * @param headers headers that may be forwarded to the caller
  */
-public record AnswerHead(
+public record ResponseHead(
         int status,
         Optional<String> attemptId,
         boolean notRun,
         boolean signed,
-        boolean encoded,
+        boolean contentEncoded,
         Optional<VmName> faultyVm,
         OptionalLong reusableForMs,
         HttpHeaders headers) {
--- a/src/main/java/org/wigeongrade/fleet/entry/ViewPuller.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/ViewPuller.java
@@ -17,7 +17,7 @@
 import org.wigeongrade.fleet.ControlDirectory;
 import org.wigeongrade.fleet.FleetClient;
 import org.wigeongrade.fleet.FleetTimings;
-import org.wigeongrade.fleet.net.EventLoop;
+import org.wigeongrade.fleet.net.SharedEventLoop;
 import org.wigeongrade.fleet.thrift.CrashRecord;
 import org.wigeongrade.fleet.thrift.PullReply;
 import org.wigeongrade.fleet.thrift.PullRequest;
@@ -38,7 +38,7 @@
     private final AvailabilityZone zone;
     private final ControlDirectory directory;
     private final EndpointRegistry registry;
-    private final EventLoop loop;
+    private final SharedEventLoop loop;
     private final ConfigurationCache configurationCache;
     private final EventLog events;
     private final LongSupplier nanoClock;
@@ -56,7 +56,7 @@
             AvailabilityZone zone,
             ControlDirectory directory,
             EndpointRegistry registry,
-            EventLoop loop,
+            SharedEventLoop loop,
             ConfigurationCache configurationCache,
             EventLog events,
             LongSupplier nanoClock) {
@@ -91,7 +91,7 @@
             return pull();
         } catch (RuntimeException e) {
             knownLeader = Optional.empty();
-            events.writeFault(LogEvent.VIEW_PULL_FAILED, e, connectedTo.orElse("-"), e);
+            events.writeWithStackTrace(LogEvent.VIEW_PULL_FAILED, e, connectedTo.orElse("-"), e);
             return false;
         }
     }
@@ -104,7 +104,7 @@
         final long sentNanos = nanoClock.getAsLong();
         try {
             final PullReply reply = client.orElseThrow().call(calls -> calls.pull(request));
-            directory.learn(reply.getControlVms());
+            directory.addControlVms(reply.getControlVms());
             if (reply.isLeads()) {
                 applyReply(reply, sentNanos);
                 knownLeader = Optional.of(controlVm);
@@ -132,7 +132,7 @@
 
     private String nextControlVm() {
         if (untriedControlVms.isEmpty()) {
-            untriedControlVms.addAll(directory.known());
+            untriedControlVms.addAll(directory.controlVmIps());
         }
         return untriedControlVms.removeFirst();
     }
--- a/src/main/java/org/wigeongrade/fleet/net/HttpListener.java
+++ b/src/main/java/org/wigeongrade/fleet/net/HttpListener.java
@@ -33,7 +33,7 @@
      * @throws WigeongradeException with {@link ErrorKind#INTERNAL} if the address cannot be listened on
      */
     public static HttpListener open(
-            EventLoop loop, InetSocketAddress address, int maxHeaderBytes, Consumer<ChannelPipeline> handlers) {
+            SharedEventLoop loop, InetSocketAddress address, int maxHeaderBytes, Consumer<ChannelPipeline> handlers) {
         final ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop.group())
                 .channel(NioServerSocketChannel.class)
--- a/src/main/java/org/wigeongrade/fleet/net/HttpReply.java
+++ b/src/main/java/org/wigeongrade/fleet/net/HttpReply.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns this response with a header added or replaced. */
-    public HttpReply with(String name, String value) {
+    public HttpReply withHeader(String name, String value) {
         final ImmutableMap<String, String> more = ImmutableMap.<String, String>builder()
                 .putAll(headers)
                 .put(name, value)
--- a/src/main/java/org/wigeongrade/fleet/net/CallServer.java
+++ b/src/main/java/org/wigeongrade/fleet/net/HttpRequestHandler.java
@@ -18,16 +18,16 @@
  *
  * <p>Invariant: the next request is read only after the response to the previous one was written.
  */
-public final class CallServer extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private static final System.Logger LOGGER = System.getLogger(CallServer.class.getName());
+public final class HttpRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final System.Logger LOGGER = System.getLogger(HttpRequestHandler.class.getName());
     private static final int INTERNAL_ERROR = 500;
 
-    private final Function<Call, CompletableFuture<HttpReply>> service;
+    private final Function<Request, CompletableFuture<HttpReply>> service;
 
     /** A request. The body is a copy, so that it stays valid after the read has returned. */
-    public record Call(String method, String path, Bytes body) {}
+    public record Request(String method, String path, Bytes body) {}
 
-    public CallServer(Function<Call, CompletableFuture<HttpReply>> service) {
+    public HttpRequestHandler(Function<Request, CompletableFuture<HttpReply>> service) {
         this.service = service;
     }
 
@@ -38,7 +38,7 @@
         final byte[] body = new byte[request.content().readableBytes()];
         request.content().readBytes(body);
         context.channel().config().setAutoRead(false);
-        final var unused = serve(new Call(request.method().name(), request.uri(), Bytes.wrap(body)))
+        final var unused = serve(new Request(request.method().name(), request.uri(), Bytes.wrap(body)))
                 .whenComplete((reply, failure) -> context.executor().execute(() -> {
                     if (failure != null) {
                         LOGGER.log(Level.WARNING, "request " + request.uri() + " failed", failure);
@@ -50,7 +50,7 @@
                 }));
     }
 
-    private CompletableFuture<HttpReply> serve(Call call) {
+    private CompletableFuture<HttpReply> serve(Request call) {
         try {
             return service.apply(call);
         } catch (RuntimeException e) {
--- a/src/main/java/org/wigeongrade/fleet/net/OneCall.java
+++ b/src/main/java/org/wigeongrade/fleet/net/OneShotHttpClient.java
@@ -21,15 +21,15 @@
 import org.wigeongrade.decisions.log.Bytes;
 
 /** Sends single HTTP requests, each on its own connection. Thread safe. */
-public final class OneCall {
+public final class OneShotHttpClient {
     private static final int MAX_RESPONSE_BYTES = 1024 * 1024;
 
-    private final EventLoop loop;
+    private final SharedEventLoop loop;
 
     /** Status, headers and body of a response. */
-    public record Answer(int status, io.netty.handler.codec.http.HttpHeaders headers, Bytes body) {}
+    public record Response(int status, io.netty.handler.codec.http.HttpHeaders headers, Bytes body) {}
 
-    public OneCall(EventLoop loop) {
+    public OneShotHttpClient(SharedEventLoop loop) {
         this.loop = loop;
     }
 
@@ -37,8 +37,8 @@
      * Sends a request and returns a future of its response. The future fails with {@link java.net.ConnectException} if
      * the connection was refused, and with {@link TimeoutException} if no complete response arrived in time.
      */
-    public CompletableFuture<Answer> send(InetSocketAddress address, FullHttpRequest request, int timeoutMs) {
-        final CompletableFuture<Answer> result = new CompletableFuture<>();
+    public CompletableFuture<Response> send(InetSocketAddress address, FullHttpRequest request, int timeoutMs) {
+        final CompletableFuture<Response> result = new CompletableFuture<>();
         final Bootstrap bootstrap = new Bootstrap()
                 .group(loop.group())
                 .channel(NioSocketChannel.class)
@@ -66,7 +66,7 @@
     }
 
     private static void write(
-            Channel channel, FullHttpRequest request, int timeoutMs, CompletableFuture<Answer> result) {
+            Channel channel, FullHttpRequest request, int timeoutMs, CompletableFuture<Response> result) {
         NettyFutures.logFailure(channel.writeAndFlush(request));
         NettyFutures.logFailure(channel.eventLoop()
                 .schedule(
@@ -81,9 +81,9 @@
 
     /** Completes the future with the first complete response. Used on the event loop only. */
     private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final CompletableFuture<Answer> result;
+        private final CompletableFuture<Response> result;
 
-        ResponseHandler(CompletableFuture<Answer> result) {
+        ResponseHandler(CompletableFuture<Response> result) {
             this.result = result;
         }
 
@@ -91,7 +91,7 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             final byte[] body = new byte[response.content().readableBytes()];
             response.content().readBytes(body);
-            result.complete(new Answer(response.status().code(), response.headers(), Bytes.wrap(body)));
+            result.complete(new Response(response.status().code(), response.headers(), Bytes.wrap(body)));
             NettyFutures.logFailure(context.close());
         }
 
--- a/src/main/java/org/wigeongrade/fleet/net/EventLoop.java
+++ b/src/main/java/org/wigeongrade/fleet/net/SharedEventLoop.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The single event loop of a process; all work for callers and endpoints runs on it. Thread safe. */
-public final class EventLoop implements AutoCloseable {
+public final class SharedEventLoop implements AutoCloseable {
     private static final long QUIET_PERIOD_MS = 0;
     private static final long STOP_TIMEOUT_MS = 500;
 
--- a/src/main/java/org/wigeongrade/logging/EventLog.java
+++ b/src/main/java/org/wigeongrade/logging/EventLog.java
@@ -40,7 +40,7 @@
     }
 
     /** Writes one event, followed by the stack trace of the exception that caused it. */
-    public void writeFault(LogEvent event, Throwable cause, Object... values) {
+    public void writeWithStackTrace(LogEvent event, Throwable cause, Object... values) {
         if (shouldWrite(event)) {
             logger.log(event.level(), EventRecord.of(event, values).toString(), cause);
         }
--- a/src/main/java/org/wigeongrade/metrics/Metrics.java
+++ b/src/main/java/org/wigeongrade/metrics/Metrics.java
@@ -61,7 +61,7 @@
     }
 
     /** Adds the memory, garbage collector, thread and process metrics of the JVM. Call it at most once. */
-    public Metrics withJvm() {
+    public Metrics withJvmMetrics() {
         JvmMemoryMetrics.builder().register(registry);
         JvmGarbageCollectorMetrics.builder().register(registry);
         JvmThreadsMetrics.builder().register(registry);
@@ -70,23 +70,23 @@
     }
 
     /** Counts one error response. */
-    public void refused(ErrorKind kind) {
+    public void countRefusal(ErrorKind kind) {
         refusals.labelValues(kind.code()).inc();
     }
 
     /** Counts one request that was retried or resumed. */
-    public void retried(RetryReason reason) {
+    public void countRetry(RetryReason reason) {
         retries.labelValues(reason.code()).inc();
     }
 
     /** Records the end of one request; {@code zone} is the endpoint's, or this VM's own if no endpoint was chosen. */
-    public void requestEnded(AvailabilityZone zone, RequestOutcome outcome, long durationNanos) {
+    public void recordRequest(AvailabilityZone zone, RequestOutcome outcome, long durationNanos) {
         requestsByZone.labelValues(zone.value(), outcome.code()).inc();
         requestDuration.observe(durationNanos / NANOS_PER_SECOND);
     }
 
     /** Records the time from a request's arrival to the first byte of its response. */
-    public void firstByteSent(long durationNanos) {
+    public void recordTimeToFirstByte(long durationNanos) {
         timeToFirstByte.observe(durationNanos / NANOS_PER_SECOND);
     }
 
@@ -120,13 +120,13 @@
         leader.set(leads ? 1 : 0);
     }
 
-    /** Adds one to the requests in flight; call {@link #requestLeft} when the request ends. */
-    public void requestArrived() {
+    /** Adds one to the requests in flight; call {@link #decrementInFlight} when the request ends. */
+    public void incrementInFlight() {
         inFlight.inc();
     }
 
-    /** Subtracts one request that {@link #requestArrived} added. */
-    public void requestLeft() {
+    /** Subtracts one request that {@link #incrementInFlight} added. */
+    public void decrementInFlight() {
         inFlight.dec();
     }
 
--- a/src/main/java/org/wigeongrade/nodes/ColdSigns.java
+++ b/src/main/java/org/wigeongrade/nodes/ColdSignBroadcaster.java
@@ -16,7 +16,7 @@
  *
  * <p>Thread safe: holds no state; the calls to peers run on the given executor.
  */
-public final class ColdSigns {
+public final class ColdSignBroadcaster {
     private static final int TIMEOUT_MS = 500;
 
     private final EntryRole entry;
@@ -25,7 +25,7 @@
     private final Runnable requestPull;
     private final EventLog events;
 
-    public ColdSigns(
+    public ColdSignBroadcaster(
             EntryRole entry,
             Map<NodeName, PeerClient> peers,
             ExecutorService workers,
@@ -42,7 +42,7 @@
      * Handles a cold sign that this VM itself observed: drops its slots at the endpoint, requests a pull and notifies
      * the peers.
      */
-    public void seen(EndpointId endpoint, String cause, int coldSlots) {
+    public void report(EndpointId endpoint, String cause, int coldSlots) {
         entry.coldSign(endpoint);
         requestPull.run();
         events.write(LogEvent.ENDPOINT_COLD, endpoint, cause, coldSlots);
--- a/src/main/java/org/wigeongrade/nodes/CrashRecords.java
+++ b/src/main/java/org/wigeongrade/nodes/CrashRecords.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.wigeongrade.decisions.outcomes.CrashReport;
-import org.wigeongrade.decisions.outcomes.EndpointLife;
+import org.wigeongrade.decisions.outcomes.EndpointIncarnation;
 import org.wigeongrade.decisions.outcomes.SuspectList;
 import org.wigeongrade.ids.EndpointId;
 import org.wigeongrade.ids.NodeName;
@@ -23,10 +23,10 @@
         final CrashReportRecord record = new CrashReportRecord();
         record.setSequence(report.sequence());
         record.setLosses(report.losses().stream()
-                .map(loss -> run(loss.requestDigest(), loss.life()))
+                .map(loss -> run(loss.requestDigest(), loss.incarnation()))
                 .toList());
         record.setCompletions(report.completions().stream()
-                .map(completion -> run(completion.requestDigest(), completion.life()))
+                .map(completion -> run(completion.requestDigest(), completion.incarnation()))
                 .toList());
         record.setWantedTrials(ImmutableList.copyOf(wantedTrials));
         return record;
@@ -69,11 +69,11 @@
                 record.getTrialNanos());
     }
 
-    private static RunRecord run(String requestDigest, EndpointLife life) {
+    private static RunRecord run(String requestDigest, EndpointIncarnation life) {
         return new RunRecord(requestDigest, life.endpoint().value(), life.incarnation());
     }
 
-    private static EndpointLife life(RunRecord run) {
-        return new EndpointLife(new EndpointId(run.getEndpoint()), run.getIncarnation());
+    private static EndpointIncarnation life(RunRecord run) {
+        return new EndpointIncarnation(new EndpointId(run.getEndpoint()), run.getIncarnation());
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/Explanations.java
+++ b/src/main/java/org/wigeongrade/nodes/FleetExplanations.java
@@ -27,19 +27,19 @@
  *
  * <p>Thread safe: holds no state of its own. Its methods block while other processes answer.
  */
-public final class Explanations {
+public final class FleetExplanations {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int TIMEOUT_MS = 1_500;
 
     private final EntryRole entry;
     private final Optional<ControlRole> control;
-    private final ControlLink link;
+    private final LeaderClient link;
     private final ImmutableMap<NodeName, PeerClient> peers;
     private final LocalExplanations local;
 
     /** {@code peers} are all other processes of the fleet. */
-    public Explanations(
-            EntryRole entry, Optional<ControlRole> control, ControlLink link, Map<NodeName, PeerClient> peers) {
+    public FleetExplanations(
+            EntryRole entry, Optional<ControlRole> control, LeaderClient link, Map<NodeName, PeerClient> peers) {
         this.entry = entry;
         this.control = control;
         this.link = link;
@@ -59,7 +59,7 @@
     }
 
     /** Returns {@code {"kind","id","decisions":[...],"unreachable":[...]}}, with the decisions in order of time. */
-    public String why(String kind, String id) {
+    public String explain(String kind, String id) {
         final List<JsonNode> decisions = new ArrayList<>();
         final ObjectNode answer = MAPPER.createObjectNode();
         answer.put("kind", kind);
--- a/src/main/java/org/wigeongrade/nodes/ControlLink.java
+++ b/src/main/java/org/wigeongrade/nodes/LeaderClient.java
@@ -26,7 +26,7 @@
  * <p>Invariant: only idempotent commands are proposed again. Every control command is idempotent, since it carries a
  * change id, a request id or a fencing token. Thread safe; {@code leaderHint} is the only state and may be stale.
  */
-public final class ControlLink {
+public final class LeaderClient {
     private static final int PULL_TIMEOUT_MS = 700;
     private static final int SUBMIT_TIMEOUT_MS = 3_500;
     private static final long RETRY_PAUSE_MS = 100;
@@ -38,7 +38,7 @@
     private volatile Optional<NodeName> leaderHint = Optional.empty();
 
     /** {@code controlPeers} are the other control VMs. */
-    public ControlLink(
+    public LeaderClient(
             NodeName self,
             Optional<ControlRole> localControl,
             Map<NodeName, PeerClient> controlPeers,
--- a/src/main/java/org/wigeongrade/nodes/control/ConfigurationViews.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ConfigurationViews.java
@@ -1,7 +1,7 @@
 package org.wigeongrade.nodes.control;
 
 import org.wigeongrade.decisions.control.ControlState;
-import org.wigeongrade.decisions.control.PlacementFacts;
+import org.wigeongrade.decisions.control.PlacementState;
 import org.wigeongrade.decisions.control.ZoneEntry;
 import org.wigeongrade.nodes.ConfigurationView;
 
@@ -13,7 +13,7 @@
     private ConfigurationViews() {}
 
     static ConfigurationView of(ControlState state) {
-        final PlacementFacts facts = state.placementFacts();
+        final PlacementState facts = state.placementState();
         return new ConfigurationView(
                 facts.revision(),
                 facts.declaredSet(),
--- a/src/main/java/org/wigeongrade/nodes/control/ControlRole.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ControlRole.java
@@ -116,7 +116,7 @@
 
     /** Returns the leader state of the current term, or empty if this VM is not the leader with a valid lease. */
     synchronized Optional<LeaderState> leaderState() {
-        if (!log.leadsWithLease()) {
+        if (!log.isLeaderWithLease()) {
             return Optional.empty();
         }
         final long term = log.term();
@@ -152,7 +152,7 @@
     }
 
     private boolean isStillLeader(LeaderState expected) {
-        return log.leadsWithLease() && log.term() == expected.term();
+        return log.isLeaderWithLease() && log.term() == expected.term();
     }
 
     private PullReply notLeaderReply() {
--- a/src/main/java/org/wigeongrade/nodes/control/FleetMeasures.java
+++ b/src/main/java/org/wigeongrade/nodes/control/FleetMetrics.java
@@ -23,7 +23,7 @@
  *
  * <p>Invariant: each time span is counted once; time without a leader is not counted. Used by one thread.
  */
-public final class FleetMeasures {
+public final class FleetMetrics {
     /** The pool name under which accelerators that belong to no group are counted. */
     private static final PoolName NO_POOL = new PoolName("none");
 
@@ -33,7 +33,7 @@
     private long term;
     private long countedUntilNanos;
 
-    public FleetMeasures(Metrics metrics, EventLog events) {
+    public FleetMetrics(Metrics metrics, EventLog events) {
         this.metrics = metrics;
         this.events = events;
     }
--- a/src/main/java/org/wigeongrade/nodes/control/FleetSnapshotBuilder.java
+++ b/src/main/java/org/wigeongrade/nodes/control/FleetSnapshotBuilder.java
@@ -15,8 +15,8 @@
 import org.wigeongrade.decisions.control.ControlState;
 import org.wigeongrade.decisions.control.FormedGroup;
 import org.wigeongrade.decisions.control.ZoneState;
+import org.wigeongrade.decisions.limits.ShareAllocator;
 import org.wigeongrade.decisions.limits.ShareKey;
-import org.wigeongrade.decisions.limits.ShareLedger;
 import org.wigeongrade.decisions.membership.Announcement;
 import org.wigeongrade.decisions.membership.AnnouncementTable;
 import org.wigeongrade.decisions.membership.EndpointKind;
@@ -40,7 +40,7 @@
     private final List<FormedGroup> groups;
     private final long appliedIndex;
     private final AnnouncementTable announcements;
-    private final ShareLedger shares;
+    private final ShareAllocator shares;
     private final Map<NodeName, String> callerAddresses;
     private final long announcementLeaseNanos;
     private final long nowNanos;
@@ -53,7 +53,7 @@
     private FleetSnapshotBuilder(
             ControlState state,
             AnnouncementTable announcements,
-            ShareLedger shares,
+            ShareAllocator shares,
             Map<NodeName, String> callerAddresses,
             long announcementLeaseNanos,
             long nowNanos) {
@@ -71,7 +71,7 @@
     static FleetSnapshot take(
             ControlState state,
             AnnouncementTable announcements,
-            ShareLedger shares,
+            ShareAllocator shares,
             Map<NodeName, String> callerAddresses,
             long announcementLeaseNanos,
             long nowNanos) {
@@ -110,7 +110,7 @@
             return;
         }
         final Announcement firstMember =
-                announcements.live(group.first().vm(), nowNanos).orElseThrow();
+                announcements.live(group.firstMember().vm(), nowNanos).orElseThrow();
         final EndpointRecord record = commonRecord(group.group().value(), firstMember, lease);
         record.setKind(EndpointKind.ENGINE.label());
         record.setTarget(modelOf(group.modelVersion(), pool.get()));
--- a/src/main/java/org/wigeongrade/nodes/control/LeaderState.java
+++ b/src/main/java/org/wigeongrade/nodes/control/LeaderState.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import org.wigeongrade.decisions.control.ControlState;
-import org.wigeongrade.decisions.limits.ShareLedger;
+import org.wigeongrade.decisions.limits.ShareAllocator;
 import org.wigeongrade.decisions.membership.AnnouncementTable;
 import org.wigeongrade.decisions.outcomes.CrashSuspects;
 import org.wigeongrade.decisions.placement.PlacementReason;
@@ -31,7 +31,7 @@
     private final long sinceNanos;
     private final NodeTimings timings;
     private final AnnouncementTable announcements = new AnnouncementTable();
-    private final ShareLedger shares;
+    private final ShareAllocator shares;
     private final CrashSuspects suspects = new CrashSuspects(SUSPECT_RETENTION_NANOS, TRIAL_LEASE_NANOS);
     private final CacheEventRing cacheEvents = new CacheEventRing();
     private final Map<NodeName, EntryStatus> entries = new TreeMap<>();
@@ -42,7 +42,7 @@
         this.term = term;
         this.sinceNanos = sinceNanos;
         this.timings = timings;
-        this.shares = new ShareLedger(timings.viewLeaseNanos(), sinceNanos + timings.viewLeaseNanos());
+        this.shares = new ShareAllocator(timings.viewLeaseNanos(), sinceNanos + timings.viewLeaseNanos());
     }
 
     long term() {
@@ -53,7 +53,7 @@
         return announcements;
     }
 
-    ShareLedger shares() {
+    ShareAllocator shares() {
         return shares;
     }
 
--- a/src/main/java/org/wigeongrade/nodes/control/PlacementLoop.java
+++ b/src/main/java/org/wigeongrade/nodes/control/PlacementLoop.java
@@ -35,7 +35,7 @@
     private final ControlRole control;
     private final OrderSender orders;
     private final ShareBounds shareBounds;
-    private final FleetMeasures metrics;
+    private final FleetMetrics metrics;
     private final EventLog events;
     private final OrderRateLimiter orderRateLimiter = new OrderRateLimiter();
     private final FreedVms freedVms = new FreedVms();
@@ -44,7 +44,7 @@
             .setDaemon(true)
             .build());
 
-    public PlacementLoop(ControlRole control, OrderSender orders, FleetMeasures metrics, EventLog events) {
+    public PlacementLoop(ControlRole control, OrderSender orders, FleetMetrics metrics, EventLog events) {
         this.control = control;
         this.orders = orders;
         this.metrics = metrics;
@@ -77,7 +77,7 @@
         } catch (WigeongradeException failure) {
             events.write(LogEvent.PLACEMENT_FAILED, failure.getMessage());
         } catch (RuntimeException failure) {
-            events.writeFault(LogEvent.PLACEMENT_FAILED, failure, failure.toString());
+            events.writeWithStackTrace(LogEvent.PLACEMENT_FAILED, failure, failure.toString());
         }
     }
 
--- a/src/main/java/org/wigeongrade/nodes/control/PullHandler.java
+++ b/src/main/java/org/wigeongrade/nodes/control/PullHandler.java
@@ -98,7 +98,7 @@
         final EndpointId endpoint = endpointOf(announcement);
         leaderState
                 .shares()
-                .endpointReport(
+                .applyEndpointReport(
                         ShareKey.endpointSlots(endpoint),
                         announcement.running() + announcement.waiting(),
                         receivedNanos,
@@ -154,7 +154,7 @@
             final ShareReport report = ShareRecords.fromThrift(record);
             leaderState
                     .shares()
-                    .report(node, request.getIncarnation(), report, nowNanos)
+                    .applyReport(node, request.getIncarnation(), report, nowNanos)
                     .map(ShareRecords::toThrift)
                     .ifPresent(grants::add);
         }
--- a/src/main/java/org/wigeongrade/nodes/control/ShareBounds.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ShareBounds.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.TimeUnit;
 import org.wigeongrade.decisions.config.OrganisationDeclaration;
 import org.wigeongrade.decisions.control.ControlState;
-import org.wigeongrade.decisions.limits.ShareBound;
+import org.wigeongrade.decisions.limits.ResourceLimit;
+import org.wigeongrade.decisions.limits.ShareAllocator;
 import org.wigeongrade.decisions.limits.ShareKey;
-import org.wigeongrade.decisions.limits.ShareLedger;
-import org.wigeongrade.decisions.limits.Warmth;
+import org.wigeongrade.decisions.limits.WarmupState;
 import org.wigeongrade.ids.EndpointId;
 import org.wigeongrade.nodes.thrift.EndpointRecord;
 
@@ -33,12 +33,12 @@
 
     private void updateBounds(EndpointRecord endpoint, LeaderState leaderState) {
         final ShareKey key = ShareKey.endpointSlots(new EndpointId(endpoint.getId()));
-        final ShareBound bound = new ShareBound(
+        final ResourceLimit bound = new ResourceLimit(
                 endpoint.getCapacity(),
                 endpoint.getColdCapacity(),
                 TimeUnit.MILLISECONDS.toNanos(endpoint.getLongestRunMs()));
-        final Warmth warmth = endpoint.isCold() ? Warmth.COLD : Warmth.WARM;
-        leaderState.shares().setBound(key, bound, warmth);
+        final WarmupState warmth = endpoint.isCold() ? WarmupState.COLD : WarmupState.WARM;
+        leaderState.shares().setLimit(key, bound, warmth);
         final EndpointRun run = new EndpointRun(
                 leaderState.term(),
                 endpoint.getIncarnation(),
@@ -47,24 +47,24 @@
         final EndpointRun previousRun = lastRuns.put(endpoint.getId(), run);
         final boolean sameTerm = previousRun != null && previousRun.term() == run.term();
         if (endpoint.isCold() || (sameTerm && !previousRun.equals(run))) {
-            leaderState.shares().coldSign(key);
+            leaderState.shares().applyColdSign(key);
         }
     }
 
-    private static void updateBounds(OrganisationDeclaration organisation, ShareLedger shares) {
-        shares.setBound(
+    private static void updateBounds(OrganisationDeclaration organisation, ShareAllocator shares) {
+        shares.setLimit(
                 ShareKey.inFlight(organisation.name()),
-                ShareBound.of(organisation.requestsInFlight(), ORGANISATION_LONGEST_RUN_NANOS),
-                Warmth.WARM);
-        shares.setBound(
+                ResourceLimit.of(organisation.requestsInFlight(), ORGANISATION_LONGEST_RUN_NANOS),
+                WarmupState.WARM);
+        shares.setLimit(
                 ShareKey.requestRate(organisation.name()),
-                ShareBound.of(organisation.requestsPerSecond(), ORGANISATION_LONGEST_RUN_NANOS),
-                Warmth.WARM);
-        shares.setBound(
+                ResourceLimit.of(organisation.requestsPerSecond(), ORGANISATION_LONGEST_RUN_NANOS),
+                WarmupState.WARM);
+        shares.setLimit(
                 ShareKey.tokensPerMinute(organisation.name()),
-                ShareBound.of(
+                ResourceLimit.of(
                         (int) Math.min(Integer.MAX_VALUE, organisation.tokensPerMinute()),
                         ORGANISATION_LONGEST_RUN_NANOS),
-                Warmth.WARM);
+                WarmupState.WARM);
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/entry/EntryRole.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/EntryRole.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.LongSupplier;
+import org.wigeongrade.decisions.limits.HeldShares;
 import org.wigeongrade.decisions.limits.OrganisationAdmission;
-import org.wigeongrade.decisions.limits.OrganisationUse;
-import org.wigeongrade.decisions.limits.ShareHolder;
+import org.wigeongrade.decisions.limits.OrganisationUsage;
 import org.wigeongrade.decisions.limits.ShareKey;
 import org.wigeongrade.decisions.outcomes.SuspectTable;
 import org.wigeongrade.decisions.routing.PrefixIndex;
@@ -35,9 +35,9 @@
     private final AtomicReference<FleetView> view;
     private final AtomicBoolean leaving = new AtomicBoolean();
     private final AtomicBoolean stopping = new AtomicBoolean();
-    private final ShareHolder shares = new ShareHolder();
+    private final HeldShares shares = new HeldShares();
     private final OrganisationAdmission admission = new OrganisationAdmission(shares);
-    private final OrganisationUse organisationUse = new OrganisationUse(ORGANISATION_ACTIVE_NANOS);
+    private final OrganisationUsage organisationUse = new OrganisationUsage(ORGANISATION_ACTIVE_NANOS);
     private final SuspectTable suspects;
     private final PrefixIndex prefixes = new PrefixIndex(MAX_BLOCKS_PER_ENGINE);
     private final RetryBudget retries = new RetryBudget(RETRIES_PER_REQUEST, RETRY_RESERVE);
@@ -82,7 +82,7 @@
         view.set(next);
     }
 
-    public ShareHolder shares() {
+    public HeldShares shares() {
         return shares;
     }
 
@@ -94,7 +94,7 @@
         return admission;
     }
 
-    public OrganisationUse organisationUse() {
+    public OrganisationUsage organisationUse() {
         return organisationUse;
     }
 
@@ -145,6 +145,6 @@
 
     /** Drops the slots at an endpoint that showed a sign of being cold, as observed by this VM or by a peer. */
     public void coldSign(EndpointId endpoint) {
-        shares.coldSign(ShareKey.endpointSlots(endpoint));
+        shares.applyColdSign(ShareKey.endpointSlots(endpoint));
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/entry/FleetView.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/FleetView.java
@@ -46,7 +46,7 @@
     }
 
     /** Returns every endpoint that may serve. */
-    public Collection<EndpointView> all() {
+    public Collection<EndpointView> allEndpoints() {
         return endpoints.values();
     }
 
--- a/src/main/java/org/wigeongrade/nodes/entry/FleetViews.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/FleetViews.java
@@ -64,7 +64,7 @@
         reply.getLoads().forEach(load -> loads.put(load.getEndpoint(), load));
         final ImmutableMap.Builder<EndpointId, EndpointView> views = ImmutableMap.builder();
         if (!reply.isMembersKnown()) {
-            earlier.all().forEach(view -> views.put(view.id(), withConfiguration(view, configuration)));
+            earlier.allEndpoints().forEach(view -> views.put(view.id(), withConfiguration(view, configuration)));
         }
         for (final EndpointRecord record : records) {
             final long leaseNanos =
--- a/src/main/java/org/wigeongrade/nodes/entry/ViewPuller.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/ViewPuller.java
@@ -11,14 +11,14 @@
 import org.wigeongrade.decisions.config.OrganisationDeclaration;
 import org.wigeongrade.decisions.limits.ShareGrant;
 import org.wigeongrade.decisions.limits.ShareKey;
-import org.wigeongrade.decisions.outcomes.EndpointLife;
+import org.wigeongrade.decisions.outcomes.EndpointIncarnation;
 import org.wigeongrade.decisions.routing.EndpointView;
 import org.wigeongrade.ids.EndpointId;
 import org.wigeongrade.logging.EventLog;
 import org.wigeongrade.logging.LogEvent;
 import org.wigeongrade.metrics.Metrics;
-import org.wigeongrade.nodes.ControlLink;
 import org.wigeongrade.nodes.CrashRecords;
+import org.wigeongrade.nodes.LeaderClient;
 import org.wigeongrade.nodes.ShareRecords;
 import org.wigeongrade.nodes.thrift.AnnouncementRecord;
 import org.wigeongrade.nodes.thrift.PullReply;
@@ -29,13 +29,13 @@
  * shares that it holds.
  *
  * <p>Invariant: every lease in a reply counts from the time at which the pull was sent. A dedicated thread makes the
- * pulls one after another; {@link #pullSoon} may be called from any thread.
+ * pulls one after another; {@link #requestPull} may be called from any thread.
  */
 public final class ViewPuller implements AutoCloseable {
     private static final long RETRY_INTERVAL_MS = 100;
 
     private final EntryRole entry;
-    private final ControlLink control;
+    private final LeaderClient control;
     private final EventLog events;
     private final Metrics metrics;
     private final long incarnation;
@@ -53,7 +53,12 @@
 
     /** {@code incarnation} must be larger than in every earlier run of this process. */
     public ViewPuller(
-            EntryRole entry, ControlLink control, EventLog events, Metrics metrics, long incarnation, long intervalMs) {
+            EntryRole entry,
+            LeaderClient control,
+            EventLog events,
+            Metrics metrics,
+            long incarnation,
+            long intervalMs) {
         this.entry = entry;
         this.control = control;
         this.events = events;
@@ -70,7 +75,7 @@
     }
 
     /** Makes the next pull start at once. */
-    public void pullSoon() {
+    public void requestPull() {
         synchronized (wakeUp) {
             pullRequested = true;
             wakeUp.notifyAll();
@@ -80,7 +85,7 @@
     @Override
     public void close() {
         closed = true;
-        pullSoon();
+        requestPull();
     }
 
     private void run() {
@@ -89,7 +94,7 @@
             try {
                 pulled = pullOnce();
             } catch (RuntimeException failure) {
-                events.writeFault(LogEvent.VIEW_PULL_FAILED, failure, leaderName(), failure.toString());
+                events.writeWithStackTrace(LogEvent.VIEW_PULL_FAILED, failure, leaderName(), failure.toString());
             }
             recordLeaseChange();
             await(pulled && !viewChanged ? intervalMs : Math.min(intervalMs, RETRY_INTERVAL_MS));
@@ -141,7 +146,7 @@
      */
     private ImmutableList<ShareKey> keysToReport(FleetView view) {
         final Set<ShareKey> current = new LinkedHashSet<>();
-        view.all().forEach(endpoint -> current.add(ShareKey.endpointSlots(endpoint.id())));
+        view.allEndpoints().forEach(endpoint -> current.add(ShareKey.endpointSlots(endpoint.id())));
         for (final OrganisationDeclaration organisation :
                 view.configuration().declaredSet().organisations()) {
             current.add(ShareKey.inFlight(organisation.name()));
@@ -150,13 +155,13 @@
         }
         for (final ShareKey key : ImmutableList.copyOf(reportedKeys)) {
             if (!current.contains(key) && entry.shares().inUse(key) == 0) {
-                entry.shares().giveBack(key);
+                entry.shares().relinquish(key);
                 reportedKeys.remove(key);
             }
         }
         reportedKeys.addAll(current);
         if (entry.isStopping()) {
-            reportedKeys.forEach(key -> entry.shares().giveBack(key));
+            reportedKeys.forEach(key -> entry.shares().relinquish(key));
         }
         return ImmutableList.copyOf(reportedKeys);
     }
@@ -201,7 +206,7 @@
             final boolean restarted = before.incarnation() != after.get().incarnation();
             final boolean turnedCold = !before.cold() && after.get().cold();
             if (restarted) {
-                entry.suspects().endpointLost(new EndpointLife(before.id(), before.incarnation()));
+                entry.suspects().endpointLost(new EndpointIncarnation(before.id(), before.incarnation()));
             }
             if (restarted || turnedCold) {
                 entry.coldSign(before.id());
--- a/src/main/java/org/wigeongrade/nodes/log/CoreOutputExecutor.java
+++ b/src/main/java/org/wigeongrade/nodes/log/CoreOutputExecutor.java
@@ -106,7 +106,7 @@
         store.append(entries);
         sealDeadlineNanos = OptionalLong.of(nowNanos + SEAL_AFTER_NANOS);
         LogEntry last = entries.get(entries.size() - 1);
-        core.persisted(last.index(), last.term());
+        core.onPersisted(last.index(), last.term());
     }
 
     private void apply(LogEntry entry) {
--- a/src/main/java/org/wigeongrade/nodes/log/RaftReplicatedLog.java
+++ b/src/main/java/org/wigeongrade/nodes/log/RaftReplicatedLog.java
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public boolean leadsWithLease() {
+    public boolean isLeaderWithLease() {
         OptionalLong deadlineNanos = status.leaseDeadlineNanos();
         return !stopping && deadlineNanos.isPresent() && clock.getAsLong() - deadlineNanos.getAsLong() < 0;
     }
@@ -261,7 +261,7 @@
         } else if (input instanceof Submitted submitted) {
             propose(submitted);
         } else if (input instanceof Discovered discovered) {
-            core.discover(discovered.peer());
+            core.addDiscoveredPeer(discovered.peer());
         } else if (input instanceof TransferLeadership) {
             startLeadershipTransfer();
         }
@@ -272,7 +272,7 @@
      * election.
      */
     private void startLeadershipTransfer() {
-        core.handOver(clock.getAsLong());
+        core.transferLeadership(clock.getAsLong());
         publishStatus();
     }
 
@@ -343,7 +343,7 @@
      * Transfers leadership to the voter with the most complete log, if this replica is the leader. Returns without
      * waiting for the transfer.
      */
-    public void handOver() {
+    public void transferLeadership() {
         boolean accepted = inputs.offer(new TransferLeadership());
         if (!accepted) {
             LOGGER.log(Level.WARNING, "leadership not transferred: the queue is full with {0} inputs", QUEUE_CAPACITY);
--- a/src/main/java/org/wigeongrade/nodes/log/ReplicatedLog.java
+++ b/src/main/java/org/wigeongrade/nodes/log/ReplicatedLog.java
@@ -19,7 +19,7 @@
     CompletableFuture<byte[]> submit(byte[] command);
 
     /** Returns whether this VM is the leader and its lease, confirmed by a quorum, is still valid. */
-    boolean leadsWithLease();
+    boolean isLeaderWithLease();
 
     /** Returns the current leader, or empty if this VM knows none. */
     Optional<NodeName> leader();
--- a/src/main/java/org/wigeongrade/nodes/log/WireCodec.java
+++ b/src/main/java/org/wigeongrade/nodes/log/WireCodec.java
@@ -32,7 +32,12 @@
     static WireMessage encode(LogMessage message) {
         if (message instanceof LogMessage.VoteRequest m) {
             return WireMessage.vote_request(new WireVoteRequest(
-                    m.term(), m.preVote(), m.handedOver(), m.voterIncarnation(), m.lastIndex(), m.lastTerm()));
+                    m.term(),
+                    m.preVote(),
+                    m.leadershipTransferred(),
+                    m.voterIncarnation(),
+                    m.lastIndex(),
+                    m.lastTerm()));
         }
         if (message instanceof LogMessage.VoteReply m) {
             return WireMessage.vote_reply(
@@ -53,7 +58,7 @@
             return WireMessage.snapshot_reply(new WireSnapshotReply(
                     m.term(), m.incarnation(), m.snapshotIndex(), m.nextOffset(), m.installed(), m.sentNanos()));
         }
-        if (message instanceof LogMessage.HandOver m) {
+        if (message instanceof LogMessage.TransferLeadership m) {
             return WireMessage.hand_over(new WireHandOver(m.term(), m.incarnation()));
         }
         if (message instanceof LogMessage.EmptyProbe m) {
@@ -77,7 +82,7 @@
             case SNAPSHOT_CHUNK -> decode(wire.getSnapshot_chunk());
             case SNAPSHOT_REPLY -> decode(wire.getSnapshot_reply());
             case HAND_OVER ->
-                new LogMessage.HandOver(
+                new LogMessage.TransferLeadership(
                         wire.getHand_over().getTerm(), wire.getHand_over().getIncarnation());
             case EMPTY_PROBE -> decode(wire.getEmpty_probe());
             case EMPTY_PROBE_REPLY -> decode(wire.getEmpty_probe_reply());
--- a/src/main/java/org/wigeongrade/operators/DeclaredSetReader.java
+++ b/src/main/java/org/wigeongrade/operators/DeclaredSetReader.java
@@ -19,7 +19,7 @@
 import org.wigeongrade.decisions.config.ObjectId;
 import org.wigeongrade.decisions.config.ObjectKind;
 import org.wigeongrade.decisions.config.OrganisationDeclaration;
-import org.wigeongrade.decisions.config.PlacementWeight;
+import org.wigeongrade.decisions.config.PlacementObjective;
 import org.wigeongrade.decisions.config.PoolDeclaration;
 import org.wigeongrade.decisions.config.ServiceDeclaration;
 import org.wigeongrade.decisions.config.ZoneDeclaration;
@@ -140,7 +140,7 @@
                 table.optionalInt("vms_per_replica", DEFAULT_VMS_PER_REPLICA),
                 table.optionalInt("capacity", DEFAULT_CAPACITY),
                 table.optionalInt("cold_capacity", DEFAULT_COLD_CAPACITY),
-                table.optionalValue("weighs", PlacementWeight::of, PlacementWeight.GROUP_DOWNTIME),
+                table.optionalValue("weighs", PlacementObjective::of, PlacementObjective.GROUP_DOWNTIME),
                 table.optionalInt("warm_spares", 0),
                 table.optionalBoolean("fencing_checked", false),
                 table.optionalLong("longest_run_ms", DEFAULT_POOL_LONGEST_RUN_MS),
--- a/src/main/java/org/wigeongrade/operators/OperatorApi.java
+++ b/src/main/java/org/wigeongrade/operators/OperatorApi.java
@@ -24,8 +24,8 @@
 import org.wigeongrade.ids.Revision;
 import org.wigeongrade.logging.EventLog;
 import org.wigeongrade.logging.LogEvent;
-import org.wigeongrade.nodes.ControlLink;
-import org.wigeongrade.nodes.Explanations;
+import org.wigeongrade.nodes.FleetExplanations;
+import org.wigeongrade.nodes.LeaderClient;
 import org.wigeongrade.nodes.entry.EntryRole;
 import ratpack.exec.Blocking;
 import ratpack.func.Action;
@@ -45,16 +45,16 @@
     private static final String BODY_FILE_NAME = "body";
 
     private final EntryRole entry;
-    private final ControlLink control;
-    private final Explanations explanations;
+    private final LeaderClient control;
+    private final FleetExplanations explanations;
     private final EventLog events;
     private final LongSupplier epochMsClock;
     private final Runnable stop;
 
     public OperatorApi(
             EntryRole entry,
-            ControlLink control,
-            Explanations explanations,
+            LeaderClient control,
+            FleetExplanations explanations,
             EventLog events,
             LongSupplier epochMsClock,
             Runnable stop) {
@@ -131,7 +131,7 @@
         context.getResponse().status(failure.kind().httpStatus());
         context.getResponse()
                 .getHeaders()
-                .set("X-Wigeongrade-Run", failure.kind().runClaim().headerValue());
+                .set("X-Wigeongrade-Run", failure.kind().runStatus().headerValue());
         context.getResponse().send("application/json", ErrorJson.render(failure, ""));
     }
 
@@ -178,7 +178,7 @@
     }
 
     private String why(Context context, String id) {
-        return explanations.why(context.getPathTokens().get("kind"), id);
+        return explanations.explain(context.getPathTokens().get("kind"), id);
     }
 
     private void stop(Context context) {
--- a/src/main/java/org/wigeongrade/platform/ControlApi.java
+++ b/src/main/java/org/wigeongrade/platform/ControlApi.java
@@ -12,13 +12,13 @@
 import org.wigeongrade.errors.WigeongradeException;
 import org.wigeongrade.fleet.control.ControlRequestHandler;
 import org.wigeongrade.fleet.control.ControlResponse;
-import org.wigeongrade.fleet.net.CallServer;
 import org.wigeongrade.fleet.net.HttpReply;
+import org.wigeongrade.fleet.net.HttpRequestHandler;
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.ids.VmName;
 
 /** The platform's HTTP API for endpoint VMs and operators. Stateless; safe for use from any thread. */
-public final class ControlApi implements Function<CallServer.Call, CompletableFuture<HttpReply>> {
+public final class ControlApi implements Function<HttpRequestHandler.Request, CompletableFuture<HttpReply>> {
     private static final System.Logger LOGGER = System.getLogger(ControlApi.class.getName());
     private static final int OK = 200;
     private static final int TEMPORARY_REDIRECT = 307;
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public CompletableFuture<HttpReply> apply(CallServer.Call call) {
+    public CompletableFuture<HttpReply> apply(HttpRequestHandler.Request call) {
         try {
             return handle(call);
         } catch (WigeongradeException e) {
@@ -50,7 +50,7 @@
         }
     }
 
-    private CompletableFuture<HttpReply> handle(CallServer.Call call) {
+    private CompletableFuture<HttpReply> handle(HttpRequestHandler.Request call) {
         final String methodAndPath = call.method() + " " + call.path();
         if (methodAndPath.equals("POST /-/configuration/replace")) {
             return handler.publish(call.body().array()).thenApply(response -> toHttpReply(response, call.path()));
@@ -65,7 +65,8 @@
         return handleNamedCall(segments.get(1) + " " + segments.get(3), segments.get(2), call);
     }
 
-    private CompletableFuture<HttpReply> handleNamedCall(String resourceAndAction, String name, CallServer.Call call) {
+    private CompletableFuture<HttpReply> handleNamedCall(
+            String resourceAndAction, String name, HttpRequestHandler.Request call) {
         return switch (resourceAndAction) {
             case "instances heartbeat" ->
                 completed(
@@ -106,7 +107,7 @@
         }
         if (response instanceof ControlResponse.RedirectToLeader redirect) {
             return HttpReply.text(TEMPORARY_REDIRECT, "only the leader answers this call\n")
-                    .with("location", "http://" + hostAndPort(redirect.leader()) + path);
+                    .withHeader("location", "http://" + hostAndPort(redirect.leader()) + path);
         }
         if (response instanceof ControlResponse.Unavailable unavailable) {
             return HttpReply.text(UNAVAILABLE, unavailable.message() + "\n");
--- a/src/main/java/org/wigeongrade/platform/CallerMessages.java
+++ b/src/main/java/org/wigeongrade/platform/PlatformCallerCodec.java
@@ -25,15 +25,15 @@
 import org.wigeongrade.decisions.log.Bytes;
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.WigeongradeException;
-import org.wigeongrade.fleet.entry.AnswerHead;
 import org.wigeongrade.fleet.entry.CallerCodec;
 import org.wigeongrade.fleet.entry.CallerRequest;
-import org.wigeongrade.fleet.entry.SendTerms;
+import org.wigeongrade.fleet.entry.ForwardingMetadata;
+import org.wigeongrade.fleet.entry.ResponseHead;
 import org.wigeongrade.fleet.net.HttpReply;
 import org.wigeongrade.ids.VmName;
 
 /** Encodes and decodes the platform's messages with callers and endpoints. Stateless; safe for use from any thread. */
-public final class CallerMessages implements CallerCodec {
+public final class PlatformCallerCodec implements CallerCodec {
     private static final String READINESS_PATH = "/-/readyz";
     private static final int MS_PER_S = 1_000;
     /** Idle timeout if the answer states none: such endpoints keep connections for less than a second. */
@@ -57,7 +57,7 @@
             WireHeaders.KEY, WireHeaders.ORGANISATION, WireHeaders.EXPECTED_VM, WireHeaders.DEADLINE_MS);
 
     @Override
-    public boolean isReadinessCall(String method, String path) {
+    public boolean isReadinessCheck(String method, String path) {
         return method.equals("GET") && path.equals(READINESS_PATH);
     }
 
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public FullHttpRequest encode(CallerRequest request, SendTerms terms, String address) {
+    public FullHttpRequest encode(CallerRequest request, ForwardingMetadata terms, String address) {
         final ByteBuf body = Unpooled.wrappedBuffer(request.body().array());
         final FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, HttpMethod.valueOf(request.method()), request.target(), body);
@@ -106,10 +106,10 @@
     }
 
     @Override
-    public AnswerHead decode(HttpResponse response) {
+    public ResponseHead decode(HttpResponse response) {
         final HttpHeaders headers = response.headers();
         final int status = response.status().code();
-        return new AnswerHead(
+        return new ResponseHead(
                 status,
                 text(headers, WireHeaders.ATTEMPT_ID),
                 headers.contains(WireHeaders.NOT_RUN) || status == PlatformStatus.MISDIRECTED,
@@ -124,10 +124,10 @@
     public HttpReply error(CallerRequest request, ErrorKind kind, String message, long retryAfterMs) {
         HttpReply reply = HttpReply.text(kind.httpStatus(), kind.code() + ": " + message + "\n");
         if (request.attemptId().isPresent()) {
-            reply = reply.with(WireHeaders.ATTEMPT_ID, request.attemptId().get());
+            reply = reply.withHeader(WireHeaders.ATTEMPT_ID, request.attemptId().get());
         }
         return retryAfterMs > 0
-                ? reply.with("retry-after", String.format(Locale.ROOT, "%.3f", (double) retryAfterMs / MS_PER_S))
+                ? reply.withHeader("retry-after", String.format(Locale.ROOT, "%.3f", (double) retryAfterMs / MS_PER_S))
                 : reply;
     }
 
--- a/src/main/java/org/wigeongrade/platform/OrderWriter.java
+++ b/src/main/java/org/wigeongrade/platform/PlatformOrderCodec.java
@@ -11,11 +11,11 @@
 import org.wigeongrade.decisions.grouping.GroupOrderKind;
 import org.wigeongrade.decisions.grouping.OrderAnswer;
 import org.wigeongrade.fleet.control.OrderCodec;
-import org.wigeongrade.fleet.net.OneCall;
+import org.wigeongrade.fleet.net.OneShotHttpClient;
 import org.wigeongrade.ids.VmName;
 
 /** Encodes orders to engine VMs and decodes their answers. Stateless; safe for use from any thread. */
-public final class OrderWriter implements OrderCodec {
+public final class PlatformOrderCodec implements OrderCodec {
     private static final String ORDER_PATH = "/-/order";
     private static final String REPORT_PATH = "/-/report";
     private static final int OK = 200;
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public OrderAnswer decode(GroupOrder order, OneCall.Answer answer) {
+    public OrderAnswer decode(GroupOrder order, OneShotHttpClient.Response answer) {
         return switch (answer.status()) {
             case OK -> OrderAnswer.DONE;
             case ACCEPTED -> OrderAnswer.BEGUN;
--- a/src/main/java/org/wigeongrade/standin/Announcer.java
+++ b/src/main/java/org/wigeongrade/standin/Announcer.java
@@ -52,7 +52,7 @@
                 .build();
         CompletableFuture<?> unused = client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
                 .whenComplete((response, failure) -> {
-                    if (failure != null && EntryBalancer.isRefused(failure)) {
+                    if (failure != null && EntryBalancer.isConnectFailure(failure)) {
                         balancer.markUnhealthy(entry.get());
                         send(json, attemptsLeft - 1);
                     }
--- a/src/main/java/org/wigeongrade/standin/EngineHandlers.java
+++ b/src/main/java/org/wigeongrade/standin/EngineHandlers.java
@@ -139,8 +139,8 @@
                         StandinServer.closeConnection(ctx);
                         return;
                     }
-                    int tokens = text.get().length() / AnswerText.TOKEN_CHARS;
-                    int promptTokens = prompt.text().length() / AnswerText.TOKEN_CHARS;
+                    int tokens = text.get().length() / ResponseText.TOKEN_CHARS;
+                    int promptTokens = prompt.text().length() / ResponseText.TOKEN_CHARS;
                     StandinServer.sendJson(
                             ctx, 200, format.fullBody(attemptId, prompt.model(), text.get(), promptTokens, tokens));
                 });
--- a/src/main/java/org/wigeongrade/standin/EntryBalancer.java
+++ b/src/main/java/org/wigeongrade/standin/EntryBalancer.java
@@ -78,7 +78,7 @@
     }
 
     /** Returns whether {@code failure} means that no connection could be opened. */
-    public static boolean isRefused(Throwable failure) {
+    public static boolean isConnectFailure(Throwable failure) {
         Throwable cause = failure;
         while (cause != null) {
             if (cause instanceof java.net.ConnectException) {
--- a/src/main/java/org/wigeongrade/standin/Generation.java
+++ b/src/main/java/org/wigeongrade/standin/Generation.java
@@ -42,7 +42,7 @@
         this.priority = priority;
         this.cold = cold;
         this.cutAtToken = cutAtToken;
-        this.nextToken = prompt.continueFrom().length() / AnswerText.TOKEN_CHARS;
+        this.nextToken = prompt.continueFrom().length() / ResponseText.TOKEN_CHARS;
     }
 
     String attemptId() {
@@ -104,8 +104,8 @@
         if (ended) {
             return;
         }
-        String text = AnswerText.token(prompt.model(), prompt.digest(), nextToken);
-        int alreadySentChars = prompt.continueFrom().length() - nextToken * AnswerText.TOKEN_CHARS;
+        String text = ResponseText.token(prompt.model(), prompt.digest(), nextToken);
+        int alreadySentChars = prompt.continueFrom().length() - nextToken * ResponseText.TOKEN_CHARS;
         nextToken++;
         listener.onToken(alreadySentChars > 0 ? text.substring(alreadySentChars) : text);
     }
--- a/src/main/java/org/wigeongrade/standin/Prompt.java
+++ b/src/main/java/org/wigeongrade/standin/Prompt.java
@@ -6,7 +6,7 @@
 /**
  * The fields of a request body that the stand-in engine uses.
  *
- * <p>Invariant: {@code digest} is {@link AnswerText#digest} of {@code text}; {@code promptJson} is the prompt as it
+ * <p>Invariant: {@code digest} is {@link ResponseText#digest} of {@code text}; {@code promptJson} is the prompt as it
  * appears in the body. Immutable; safe for use from any thread.
  */
 public record Prompt(
@@ -30,7 +30,7 @@
         return Optional.of(new Prompt(
                 body.path("model").asText(""),
                 text,
-                AnswerText.digest(text),
+                ResponseText.digest(text),
                 body.path(body.has("prompt") ? "prompt" : "messages").toString(),
                 body.path("max_tokens").asInt(DEFAULT_TOKENS),
                 body.path("stream").asBoolean(false),
@@ -54,7 +54,7 @@
 
     /** Returns the full text of the response, including the part already sent. */
     public String fullResponse() {
-        return AnswerText.whole(model, digest, maxTokens);
+        return ResponseText.firstTokens(model, digest, maxTokens);
     }
 
     /** Returns whether the text already sent is a prefix of the response, so that the response can be continued. */
--- a/src/main/java/org/wigeongrade/standin/AnswerText.java
+++ b/src/main/java/org/wigeongrade/standin/ResponseText.java
@@ -9,11 +9,11 @@
  * <p>Invariant: token {@code i} is a pure function of model, prompt digest and {@code i}; every token has
  * {@value #TOKEN_CHARS} characters. Stateless; safe for use from any thread.
  */
-public final class AnswerText {
+public final class ResponseText {
     /** Length of each token in characters, including its trailing space. */
     public static final int TOKEN_CHARS = 7;
 
-    private AnswerText() {}
+    private ResponseText() {}
 
     /** Returns the digest that identifies a prompt: the first 16 hexadecimal digits of its SHA-256. */
     public static String digest(String prompt) {
@@ -31,7 +31,7 @@
     }
 
     /** Returns the first {@code tokens} tokens of the response. */
-    public static String whole(String model, String promptDigest, int tokens) {
+    public static String firstTokens(String model, String promptDigest, int tokens) {
         StringBuilder text = new StringBuilder(tokens * TOKEN_CHARS);
         for (int i = 0; i < tokens; i++) {
             text.append(token(model, promptDigest, i));
--- a/src/main/java/org/wigeongrade/standin/ServiceVm.java
+++ b/src/main/java/org/wigeongrade/standin/ServiceVm.java
@@ -29,7 +29,7 @@
         }
 
         String digest() {
-            return AnswerText.digest(body);
+            return ResponseText.digest(body);
         }
     }
 
--- a/src/test/java/org/wigeongrade/bench/LoadRunTest.java
+++ b/src/test/java/org/wigeongrade/bench/LoadRunTest.java
@@ -27,7 +27,7 @@
 
     @BeforeAll
     static void startEngine() throws Exception {
-        address = "127.0.0.1:" + LoopbackPorts.free();
+        address = "127.0.0.1:" + LoopbackPorts.allocate();
         EngineStandin.Options options = new EngineStandin.Options();
         new CmdLineParser(options)
                 .parseArgument(
--- a/src/test/java/org/wigeongrade/decisions/Sets.java
+++ b/src/test/java/org/wigeongrade/decisions/TestDeclaredSets.java
@@ -4,7 +4,7 @@
 import org.wigeongrade.decisions.config.DeclaredSet;
 import org.wigeongrade.decisions.config.ModelVersionDeclaration;
 import org.wigeongrade.decisions.config.OrganisationDeclaration;
-import org.wigeongrade.decisions.config.PlacementWeight;
+import org.wigeongrade.decisions.config.PlacementObjective;
 import org.wigeongrade.decisions.config.PoolDeclaration;
 import org.wigeongrade.decisions.config.ServiceDeclaration;
 import org.wigeongrade.decisions.config.ZoneDeclaration;
@@ -15,7 +15,7 @@
 import org.wigeongrade.ids.ServiceName;
 
 /** Creates declared sets and objects for tests. Stateless. */
-public final class Sets {
+public final class TestDeclaredSets {
     public static final AvailabilityZone ZONE_A = AvailabilityZone.of("zone-a");
     public static final AvailabilityZone ZONE_B = AvailabilityZone.of("zone-b");
     public static final AvailabilityZone ZONE_C = AvailabilityZone.of("zone-c");
@@ -24,7 +24,7 @@
     public static final PoolName GUIDE = PoolName.of("guide");
     public static final String DIGEST = "ab".repeat(32);
 
-    private Sets() {}
+    private TestDeclaredSets() {}
 
     /**
      * Returns a set with the given pool, three availability zones, two model versions, one service and one
@@ -45,14 +45,14 @@
     }
 
     public static PoolDeclaration pool(int replicas, int vmsPerReplica) {
-        return pool(replicas, vmsPerReplica, GUIDE_1, PlacementWeight.GROUP_DOWNTIME, 0, true, 100);
+        return pool(replicas, vmsPerReplica, GUIDE_1, PlacementObjective.GROUP_DOWNTIME, 0, true, 100);
     }
 
     public static PoolDeclaration pool(
             int replicas,
             int vmsPerReplica,
             ModelVersionName version,
-            PlacementWeight weighs,
+            PlacementObjective weighs,
             int warmSpares,
             boolean fencingChecked,
             int maxLoads) {
--- a/src/test/java/org/wigeongrade/decisions/balancing/BalancerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/balancing/BalancerTest.java
@@ -32,7 +32,8 @@
     private static final BalancingLimits UNBOUNDED = new BalancingLimits(Double.MAX_VALUE, 7);
 
     private final Balancer balancer = new Balancer(new Random(1));
-    private final Optional<EngineModel> engine = Optional.of(new EngineModel(PROFILE, MODEL, new LearnedOverhead()));
+    private final Optional<EngineLatencyModel> engine =
+            Optional.of(new EngineLatencyModel(PROFILE, MODEL, new LearnedOverhead()));
 
     @Test
     void leastLoadedGroupIsChosen() {
@@ -47,7 +48,7 @@
     @Test
     void countsRequestsOfOtherEntryNodes() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
-        groups.get(0).elsewhere(10, 0);
+        groups.get(0).setLoadFromOtherNodes(10, 0);
         send(groups.get(1), 2);
 
         assertThat(place(groups, Set.of(), 0).endpoint().orElseThrow()).isEqualTo(groups.get(1));
@@ -59,20 +60,20 @@
         send(groups.get(0), 1);
         send(groups.get(1), 12);
         final long laterNanos = TimeUnit.MILLISECONDS.toNanos(300);
-        groups.get(1).progressed(laterNanos);
+        groups.get(1).recordProgress(laterNanos);
 
         assertThat(place(groups, Set.of(), laterNanos).endpoint().orElseThrow()).isEqualTo(groups.get(1));
     }
 
     @ParameterizedTest
     @CsvSource({"60, a", "180, b"})
-    void silenceOfRunningStreamsCountsLongBeforeTheGroupStandsStill(int silentMs, String chosen) {
+    void silenceOfRunningStreamsAddsCostBeforeGroupIsStalled(int silentMs, String chosen) {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
         send(groups.get(0), 1);
-        groups.get(0).beganWriting();
+        groups.get(0).recordStreamStarted();
         send(groups.get(1), 3);
         final long laterNanos = TimeUnit.MILLISECONDS.toNanos(silentMs);
-        groups.get(1).progressed(laterNanos);
+        groups.get(1).recordProgress(laterNanos);
 
         assertThat(place(groups, Set.of(), laterNanos)
                         .endpoint()
@@ -85,7 +86,7 @@
     @Test
     void suspectGroupIsUsedOnlyIfThereIsNoOther() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
-        groups.get(0).suspected(true);
+        groups.get(0).setSuspect(true);
         send(groups.get(1), 12);
 
         assertThat(place(groups, Set.of(), 0).endpoint()).hasValue(groups.get(1));
@@ -94,10 +95,10 @@
 
     @ParameterizedTest
     @CsvSource({"8000, 1000, 2000", "6000, 1000, 2000", "1500, 250, 500"})
-    void callersRefusedInARushComeBackSpreadOutAndAsLateAsTheyAgreeTo(long remainingMs, long fromMs, long toMs) {
+    void retryAfterIsSpreadOverUpperPartOfAllowedTime(long remainingMs, long fromMs, long toMs) {
         final List<EndpointLoad> groups = List.of(group("a", HERE));
         send(groups.get(0), 40);
-        final BalancedRequest request = new BalancedRequest(1_000, 500, 300, remainingMs, Set.of(), false, HERE);
+        final PlacementRequest request = new PlacementRequest(1_000, 500, 300, remainingMs, Set.of(), false, HERE);
         final LongSummaryStatistics times = IntStream.range(0, 200)
                 .mapToLong(caller ->
                         balancer.place(request, groups, engine, UNBOUNDED, 0).retryAfterMs())
@@ -111,7 +112,7 @@
     @Test
     void groupThatFailedIsAvoidedForAWhile() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
-        groups.get(0).failed(0);
+        groups.get(0).recordFailure(0);
         send(groups.get(1), 12);
 
         assertThat(place(groups, Set.of(), 1).endpoint().orElseThrow()).isEqualTo(groups.get(1));
@@ -121,7 +122,7 @@
     void slowGroupIsAvoided() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
         for (int i = 0; i < 40; i++) {
-            groups.get(0).observed(500, 100);
+            groups.get(0).recordLatency(500, 100);
         }
         send(groups.get(1), 6);
 
@@ -146,18 +147,18 @@
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
         groups.forEach(group -> {
             send(group, 4);
-            group.reads(40_000);
+            group.recordPromptSent(40_000);
         });
 
         assertThat(place(groups, Set.of(), 0).refusal()).hasValue(Placement.Refusal.ALL_BUSY);
-        groups.get(1).hasRead(39_000);
+        groups.get(1).recordPromptDone(39_000);
         assertThat(place(groups, Set.of(), 0).endpoint()).hasValue(groups.get(1));
     }
 
     @Test
     void startedStreamIsPlacedEvenIfItWouldBeLate() {
         final List<EndpointLoad> groups = List.of(group("a", HERE), group("b", HERE));
-        groups.forEach(group -> group.reads(40_000));
+        groups.forEach(group -> group.recordPromptSent(40_000));
 
         assertThat(place(groups, Set.of(), 0).endpoint()).isEmpty();
         assertThat(place(groups, Set.of(VmName.of("a")), 0).endpoint()).hasValue(groups.get(1));
@@ -202,7 +203,7 @@
     @Test
     void coldGroupGetsNoMoreThanShareOfNode() {
         final List<EndpointLoad> groups = List.of(group("a", HERE));
-        groups.get(0).coldUntil(TimeUnit.SECONDS.toNanos(5));
+        groups.get(0).setColdUntil(TimeUnit.SECONDS.toNanos(5));
         int accepted = 0;
         for (int i = 0; i < 20; i++) {
             final Placement placement =
@@ -218,13 +219,13 @@
         return balancer.place(request(tried), groups, engine, UNBOUNDED, nowNanos);
     }
 
-    private static BalancedRequest request(Set<VmName> tried) {
-        return new BalancedRequest(1_000, 500, 300, 8_000, ImmutableSet.copyOf(tried), !tried.isEmpty(), HERE);
+    private static PlacementRequest request(Set<VmName> tried) {
+        return new PlacementRequest(1_000, 500, 300, 8_000, ImmutableSet.copyOf(tried), !tried.isEmpty(), HERE);
     }
 
     private static void send(EndpointLoad group, int requests) {
         for (int i = 0; i < requests; i++) {
-            group.sent(0);
+            group.recordSent(0);
         }
     }
 
--- a/src/test/java/org/wigeongrade/decisions/balancing/RetryBudgetShareTest.java
+++ b/src/test/java/org/wigeongrade/decisions/balancing/RetryBudgetShareTest.java
@@ -18,14 +18,14 @@
         "100, 0, 7, 16",
         "0, 0, 7, 0",
     })
-    void retryStormIsCutToThisNodesPart(int requests, double slack, int entryNodes, int allowed) {
-        final RetryAllowance budget = new RetryAllowance(0.2, slack, WINDOW_NANOS);
+    void limitsRetriesToShareOfNode(int requests, double slack, int entryNodes, int allowed) {
+        final RetryBudgetShare budget = new RetryBudgetShare(0.2, slack, WINDOW_NANOS);
         for (int i = 0; i < requests; i++) {
-            budget.requested(0);
+            budget.recordRequest(0);
         }
         int retried = 0;
         for (int i = 0; i < 500; i++) {
-            retried += budget.tryRepeat(entryNodes, 1) ? 1 : 0;
+            retried += budget.tryRetry(entryNodes, 1) ? 1 : 0;
         }
 
         assertThat(retried).isEqualTo(allowed);
@@ -33,12 +33,12 @@
 
     @Test
     void budgetIsRestoredAfterTheWindow() {
-        final RetryAllowance budget = new RetryAllowance(0, 10, WINDOW_NANOS);
-        while (budget.tryRepeat(1, 0)) {
+        final RetryBudgetShare budget = new RetryBudgetShare(0, 10, WINDOW_NANOS);
+        while (budget.tryRetry(1, 0)) {
             assertThat(budget).isNotNull();
         }
 
-        assertThat(budget.tryRepeat(1, WINDOW_NANOS - 1)).isFalse();
-        assertThat(budget.tryRepeat(1, WINDOW_NANOS)).isTrue();
+        assertThat(budget.tryRetry(1, WINDOW_NANOS - 1)).isFalse();
+        assertThat(budget.tryRetry(1, WINDOW_NANOS)).isTrue();
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/control/ControlStateTest.java
+++ b/src/test/java/org/wigeongrade/decisions/control/ControlStateTest.java
@@ -1,10 +1,10 @@
 package org.wigeongrade.decisions.control;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.wigeongrade.decisions.Sets.GUIDE_1;
-import static org.wigeongrade.decisions.Sets.GUIDE_2;
-import static org.wigeongrade.decisions.Sets.ZONE_A;
-import static org.wigeongrade.decisions.Sets.ZONE_B;
+import static org.wigeongrade.decisions.TestDeclaredSets.GUIDE_1;
+import static org.wigeongrade.decisions.TestDeclaredSets.GUIDE_2;
+import static org.wigeongrade.decisions.TestDeclaredSets.ZONE_A;
+import static org.wigeongrade.decisions.TestDeclaredSets.ZONE_B;
 
 import java.util.Arrays;
 import java.util.List;
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.wigeongrade.decisions.Sets;
+import org.wigeongrade.decisions.TestDeclaredSets;
 import org.wigeongrade.decisions.config.DeclaredSet;
 import org.wigeongrade.decisions.config.ObjectId;
 import org.wigeongrade.decisions.config.ObjectKind;
 import org.wigeongrade.decisions.outcomes.ClaimTable;
 import org.wigeongrade.errors.ErrorKind;
-import org.wigeongrade.errors.RunClaim;
+import org.wigeongrade.errors.RunStatus;
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.ids.ChangeId;
 import org.wigeongrade.ids.FabricDomain;
@@ -41,24 +41,26 @@
 
     @BeforeEach
     void declare() {
-        apply(change("setup", 0, Sets.valid()));
+        apply(change("setup", 0, TestDeclaredSets.valid()));
     }
 
     @Test
     void resentChangeGetsItsFirstResultAndTakesEffectOnce() {
-        final CommandResult first = apply(change("c1", 1, Sets.with(Sets.pool(3, 2))));
-        apply(change("c2", 2, Sets.with(Sets.pool(4, 2))));
+        final CommandResult first = apply(change("c1", 1, TestDeclaredSets.with(TestDeclaredSets.pool(3, 2))));
+        apply(change("c2", 2, TestDeclaredSets.with(TestDeclaredSets.pool(4, 2))));
 
-        assertThat(apply(change("c1", 1, Sets.with(Sets.pool(3, 2))))).isEqualTo(first);
+        assertThat(apply(change("c1", 1, TestDeclaredSets.with(TestDeclaredSets.pool(3, 2)))))
+                .isEqualTo(first);
         assertThat(state.declaredSet().pools().get(0).replicas()).isEqualTo(4);
         assertThat(state.revision()).isEqualTo(Revision.of(3));
     }
 
     @Test
     void conflictingChangeIsRefusedNamingOperatorAndChangedObjects() {
-        apply(change("c1", 1, Sets.with(Sets.pool(3, 2))));
+        apply(change("c1", 1, TestDeclaredSets.with(TestDeclaredSets.pool(3, 2))));
 
-        final CommandResult.Refused refused = refused(change("c2", 1, Sets.with(Sets.pool(5, 2))));
+        final CommandResult.Refused refused =
+                refused(change("c2", 1, TestDeclaredSets.with(TestDeclaredSets.pool(5, 2))));
 
         assertThat(refused.kind()).isEqualTo(ErrorKind.REVISION_CONFLICT);
         assertThat(refused.message()).contains("morag");
@@ -72,21 +74,21 @@
 
     @Test
     void invalidSetIsRefusedWithEveryFaultAndChangesNothing() {
-        final DeclaredSet faulty = Sets.with(Sets.pool(-1, 0));
+        final DeclaredSet faulty = TestDeclaredSets.with(TestDeclaredSets.pool(-1, 0));
 
         final CommandResult.Refused refused = refused(change("c1", 1, faulty));
 
         assertThat(refused.kind()).isEqualTo(ErrorKind.INVALID_CONFIGURATION);
         assertThat(refused.message()).contains("replicas");
         assertThat(refused.message()).contains("vms_per_replica");
-        assertThat(state.declaredSet()).isEqualTo(Sets.valid());
+        assertThat(state.declaredSet()).isEqualTo(TestDeclaredSets.valid());
     }
 
     @Test
     void zoneThatWasTakenOutStaysOutAcrossLaterSets() {
         apply(zone("z1", ZONE_A, ZoneState.OUT));
         apply(change("c1", 2, DeclaredSet.EMPTY));
-        apply(change("c2", 3, Sets.valid()));
+        apply(change("c2", 3, TestDeclaredSets.valid()));
 
         assertThat(state.zoneStates()).containsEntry(ZONE_A, ZoneState.OUT);
         assertThat(state.zoneStates()).containsEntry(ZONE_B, ZoneState.IN);
@@ -171,7 +173,7 @@
                 OrganisationName.of("carrick"),
                 "finished",
                 RequestId.of("r1"),
-                RunClaim.COMPLETED,
+                RunStatus.COMPLETED,
                 new StoredAnswer(200, "text/plain", new byte[] {1, 2, 3}),
                 1_000));
 
--- a/src/test/java/org/wigeongrade/decisions/discovery/VmRegistryTest.java
+++ b/src/test/java/org/wigeongrade/decisions/discovery/VmRegistryTest.java
@@ -24,36 +24,39 @@
         "11, 1, true",
         "9, 99, false",
     })
-    void takesOnlyNewerHeartbeatsOfOneVm(long incarnation, long sequence, boolean accepted) {
-        registry.hear(heartbeat("a", 10, 5, "10.0.0.1:80"), 0);
+    void acceptsOnlyNewerHeartbeatsOfVm(long incarnation, long sequence, boolean accepted) {
+        registry.recordHeartbeat(heartbeat("a", 10, 5, "10.0.0.1:80"), 0);
 
-        assertThat(registry.hear(heartbeat("a", incarnation, sequence, "10.0.0.1:80"), 1))
+        assertThat(registry.recordHeartbeat(heartbeat("a", incarnation, sequence, "10.0.0.1:80"), 1))
                 .isEqualTo(accepted);
     }
 
     @Test
     void newerVmAtAddressEndsOlderOne() {
-        registry.hear(heartbeat("old", 10, 1, "10.0.0.1:80"), 0);
-        registry.hear(heartbeat("new", 20, 1, "10.0.0.1:80"), 1);
+        registry.recordHeartbeat(heartbeat("old", 10, 1, "10.0.0.1:80"), 0);
+        registry.recordHeartbeat(heartbeat("new", 20, 1, "10.0.0.1:80"), 1);
 
         assertThat(registry.find(VmName.of("old")).orElseThrow().ended()).isTrue();
-        assertThat(registry.hear(heartbeat("old", 10, 2, "10.0.0.1:80"), 2)).isFalse();
+        assertThat(registry.recordHeartbeat(heartbeat("old", 10, 2, "10.0.0.1:80"), 2))
+                .isFalse();
         assertThat(registry.find(VmName.of("new")).orElseThrow().ended()).isFalse();
     }
 
     @Test
     void lateHeartbeatDoesNotReviveDepartedVm() {
-        registry.hear(heartbeat("a", 10, 5, "10.0.0.1:80"), 0);
-        registry.depart(VmName.of("a"));
+        registry.recordHeartbeat(heartbeat("a", 10, 5, "10.0.0.1:80"), 0);
+        registry.markDeparted(VmName.of("a"));
 
-        assertThat(registry.hear(heartbeat("a", 10, 6, "10.0.0.1:80"), 1)).isFalse();
+        assertThat(registry.recordHeartbeat(heartbeat("a", 10, 6, "10.0.0.1:80"), 1))
+                .isFalse();
         assertThat(registry.find(VmName.of("a")).orElseThrow().isStaying()).isFalse();
-        assertThat(registry.hear(heartbeat("a", 11, 1, "10.0.0.1:80"), 2)).isTrue();
+        assertThat(registry.recordHeartbeat(heartbeat("a", 11, 1, "10.0.0.1:80"), 2))
+                .isTrue();
     }
 
     @Test
     void removesVmsWithoutRecentHeartbeat() {
-        registry.hear(heartbeat("a", 10, 5, "10.0.0.1:80"), 0);
+        registry.recordHeartbeat(heartbeat("a", 10, 5, "10.0.0.1:80"), 0);
 
         assertThat(registry.records(59_000_000_000L)).hasSize(1);
         assertThat(registry.records(61_000_000_000L)).isEmpty();
--- a/src/test/java/org/wigeongrade/decisions/grouping/GroupPlannerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/GroupPlannerTest.java
@@ -129,7 +129,7 @@
         fleet.vms.forEach(vm -> vm.losesHeartbeats = false);
         fleet.run(3_000);
 
-        assertThat(fleet.changes.stream().map(GroupChange::phase).toList()).doesNotContain(GroupPhase.CLOSING);
+        assertThat(fleet.changes.stream().map(GroupPhaseChange::phase).toList()).doesNotContain(GroupPhase.CLOSING);
         assertThat(fleet.serving(LARGE) + fleet.serving(SMALL)).isEqualTo(12);
     }
 
@@ -209,7 +209,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {100, 300, 600, 1_000})
-    void leaderThatIsBehindTakesNoVmOfAGroupItHasNotHeardOf(long lagMs) {
+    void leaderWithStaleHeartbeatsTakesNoVmOfUnknownGroup(long lagMs) {
         fleet.run(LOADED_MS);
         for (int round = 0; round < 12; round++) {
             fleet.anyMember().ended = true;
@@ -253,7 +253,7 @@
                 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28,
                 29, 30
             })
-    void noGroupIsPartialAndNoVmInTwoWhateverHappens(long seed) {
+    void groupsStayCompleteAndDisjointUnderRandomFaults(long seed) {
         final SimulatedFleet faultyFleet = new SimulatedFleet(4, 8, seed);
         faultyFleet.run(LOADED_MS);
         for (int round = 0; round < 25; round++) {
--- a/src/test/java/org/wigeongrade/decisions/grouping/InheritedGroupsTest.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/InheritedGroupsTest.java
@@ -26,7 +26,7 @@
     /** A group that only a lost VM has reported must not keep the leader from forming another one. */
     @ParameterizedTest
     @CsvSource({"0, 1", "2900, 1", "3100, 0", "20000, 0"})
-    void onlyVmsThatAreHeardOfKeepAGroupPending(long silentMs, int pending) {
+    void onlyVmsWithRecentHeartbeatsKeepGroupPending(long silentMs, int pending) {
         final long nowNanos = TimeUnit.SECONDS.toNanos(100);
         final VmRecord lost =
                 new VmRecord(heartbeat(), nowNanos - TimeUnit.MILLISECONDS.toNanos(silentMs), 0, false, false);
--- a/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
@@ -39,8 +39,8 @@
     private static final long ORDER_TIMEOUT_MS = 450;
     private static final long PROBE_TIMEOUT_MS = 250;
     /** One request in flight at an endpoint that belongs to no group; it shows the leader that callers are active. */
-    private static final ImmutableMap<VmName, EndpointEvidence> ONE_REQUEST =
-            ImmutableMap.of(VmName.of("plain"), new EndpointEvidence(1, 0, 0, false));
+    private static final ImmutableMap<VmName, EndpointObservation> ONE_REQUEST =
+            ImmutableMap.of(VmName.of("plain"), new EndpointObservation(1, 0, 0, false));
 
     private record ReceivedHeartbeat(long atMs, VmHeartbeat heartbeat) {}
 
@@ -48,7 +48,7 @@
 
     final List<SimulatedVm> vms = new ArrayList<>();
     final List<String> violations = new ArrayList<>();
-    final List<GroupChange> changes = new ArrayList<>();
+    final List<GroupPhaseChange> changes = new ArrayList<>();
     private final List<ReceivedHeartbeat> receivedHeartbeats = new ArrayList<>();
     final Random random;
     /** Ratio of orders that get no answer and are carried out 2 to 12 s later. */
@@ -117,7 +117,7 @@
         registry = new VmRegistry();
         receivedHeartbeats.stream()
                 .filter(heartbeat -> heartbeat.atMs() <= nowMs - lagMs)
-                .forEach(heartbeat -> registry.hear(heartbeat.heartbeat(), nanos(heartbeat.atMs())));
+                .forEach(heartbeat -> registry.recordHeartbeat(heartbeat.heartbeat(), nanos(heartbeat.atMs())));
         newLeader();
     }
 
@@ -130,7 +130,7 @@
             }
             vms.forEach(vm -> vm.tick().ifPresent(heartbeat -> {
                 receivedHeartbeats.add(new ReceivedHeartbeat(nowMs, heartbeat));
-                registry.hear(heartbeat, nanos(nowMs));
+                registry.recordHeartbeat(heartbeat, nanos(nowMs));
             }));
             if (nowMs > planAfterMs) {
                 plan();
@@ -144,7 +144,7 @@
                 .forEach(order -> deliver(leader, order));
     }
 
-    private Map<VmName, EndpointEvidence> observations() {
+    private Map<VmName, EndpointObservation> observations() {
         if (!everyGroupBusy) {
             return callersActive ? ONE_REQUEST : ImmutableMap.of();
         }
@@ -154,7 +154,8 @@
                     final boolean refuses = refusedSinceMs.containsKey(head.incarnation.vm());
                     final long progressedMs =
                             refuses ? refusedSinceMs.get(head.incarnation.vm()) : nowMs - head.stalledMs();
-                    return new EndpointEvidence(requestsAt(head), nowMs - progressedMs, nanos(progressedMs), refuses);
+                    return new EndpointObservation(
+                            requestsAt(head), nowMs - progressedMs, nanos(progressedMs), refuses);
                 }));
     }
 
@@ -175,12 +176,12 @@
             schedule(2_000 + random.nextInt(10_000), () -> executeIfReachable(vm, order));
         }
         if (late || vm.partitioned || vm.ended) {
-            schedule(timeoutMs(order), () -> leader.answered(order, OrderAnswer.NONE, nanos(nowMs)));
+            schedule(timeoutMs(order), () -> leader.recordAnswer(order, OrderAnswer.NONE, nanos(nowMs)));
             return;
         }
         schedule(5, () -> {
             final OrderAnswer answer = vm.ended ? OrderAnswer.NONE : vm.execute(order);
-            schedule(5, () -> leader.answered(order, answer, nanos(nowMs)));
+            schedule(5, () -> leader.recordAnswer(order, answer, nanos(nowMs)));
         });
     }
 
--- a/src/test/java/org/wigeongrade/decisions/limits/HeldSharesConcurrencyTest.java
+++ b/src/test/java/org/wigeongrade/decisions/limits/HeldSharesConcurrencyTest.java
@@ -11,7 +11,7 @@
     private static final ShareKey KEY = ShareKey.endpointSlots(EndpointId.of("e1"));
     private static final long DEADLINE = 1_000;
 
-    private final ShareHolder shares = new ShareHolder();
+    private final HeldShares shares = new HeldShares();
 
     /** Starts with two granted slots, so that most scenarios acquire some. */
     public HeldSharesConcurrencyTest() {
@@ -37,7 +37,7 @@
 
     @Operation
     public void coldSign() {
-        shares.coldSign(KEY);
+        shares.applyColdSign(KEY);
     }
 
     @Operation
--- a/src/test/java/org/wigeongrade/decisions/limits/HeldSharesTest.java
+++ b/src/test/java/org/wigeongrade/decisions/limits/HeldSharesTest.java
@@ -11,7 +11,7 @@
     private static final ShareKey KEY = ShareKey.endpointSlots(EndpointId.of("e1"));
     private static final long DEADLINE = 1_000;
 
-    private final ShareHolder shares = new ShareHolder();
+    private final HeldShares shares = new HeldShares();
 
     private void grant(int slots, int coldSlots, long epoch) {
         ShareReport report = shares.report(KEY, 0);
@@ -52,7 +52,7 @@
     void coldSignKeepsOnlyColdSlotsAndInvalidatesPendingGrant() {
         grant(5, 1, 0);
         ShareReport pending = shares.report(KEY, 1);
-        shares.coldSign(KEY);
+        shares.applyColdSign(KEY);
         assertThat(shares.applyGrant(new ShareGrant(KEY, pending.sequence(), 5, 1, 0, DEADLINE), DEADLINE))
                 .isFalse();
         assertThat(shares.tryAcquire(KEY, 1)).isPresent();
@@ -64,12 +64,12 @@
     void completionsOfWorkStartedBeforeTheColdSignAreIgnored() {
         grant(3, 1, 0);
         Slot before = shares.tryAcquire(KEY, 1).orElseThrow();
-        shares.coldSign(KEY);
+        shares.applyColdSign(KEY);
         grant(3, 1, 1);
         Slot after = shares.tryAcquire(KEY, 1).orElseThrow();
-        shares.completedWarm(before);
-        shares.completedCold(before);
-        shares.completedWarm(after);
+        shares.recordWarmCompletion(before);
+        shares.recordColdCompletion(before);
+        shares.recordWarmCompletion(after);
         ShareReport report = shares.report(KEY, 1);
         assertThat(report.warmCompletions()).isEqualTo(1);
         assertThat(report.granted()).isEqualTo(3);
--- a/src/test/java/org/wigeongrade/decisions/limits/OrganisationAdmissionTest.java
+++ b/src/test/java/org/wigeongrade/decisions/limits/OrganisationAdmissionTest.java
@@ -11,7 +11,7 @@
     private static final OrganisationName ORGANISATION = OrganisationName.of("lone-star");
     private static final long DEADLINE = 100_000_000_000L;
 
-    private final ShareHolder shares = new ShareHolder();
+    private final HeldShares shares = new HeldShares();
     private final OrganisationAdmission admission = new OrganisationAdmission(shares);
 
     private void grant(ShareKey key, int slots) {
--- a/src/test/java/org/wigeongrade/decisions/limits/OrganisationUsageTest.java
+++ b/src/test/java/org/wigeongrade/decisions/limits/OrganisationUsageTest.java
@@ -23,8 +23,9 @@
         "9, 10, 9, -200, ",
         "0, 0, 1, 0, FAIR_PART_EXCEEDED",
     })
-    void largeOrganisation(int inUse, int slots, int inUseByLarge, long smallRequestedAt, AdmissionReason expected) {
-        OrganisationUse usage = new OrganisationUse(ACTIVE);
+    void limitsLargeOrganisationUnderCongestion(
+            int inUse, int slots, int inUseByLarge, long smallRequestedAt, AdmissionReason expected) {
+        OrganisationUsage usage = new OrganisationUsage(ACTIVE);
         usage.refusal("model", SMALL, 0, 10, smallRequestedAt);
         for (int i = 0; i < inUseByLarge; i++) {
             usage.begin("model", LARGE);
--- a/src/test/java/org/wigeongrade/decisions/limits/ShareAllocatorTest.java
+++ b/src/test/java/org/wigeongrade/decisions/limits/ShareAllocatorTest.java
@@ -18,12 +18,12 @@
     private static final long PREVIOUS_LEASES_END = -10_000_000;
     private static final long PAST_LEASE = 2 * LEASE;
 
-    private final ShareLedger allocator = allocator(PREVIOUS_LEASES_END, Warmth.WARM);
+    private final ShareAllocator allocator = allocator(PREVIOUS_LEASES_END, WarmupState.WARM);
     private long sequence;
 
-    private static ShareLedger allocator(long previousLeasesEnd, Warmth initialState) {
-        ShareLedger allocator = new ShareLedger(LEASE, previousLeasesEnd);
-        allocator.setBound(KEY, new ShareBound(10, 2, LONGEST_RUN), initialState);
+    private static ShareAllocator allocator(long previousLeasesEnd, WarmupState initialState) {
+        ShareAllocator allocator = new ShareAllocator(LEASE, previousLeasesEnd);
+        allocator.setLimit(KEY, new ResourceLimit(10, 2, LONGEST_RUN), initialState);
         return allocator;
     }
 
@@ -31,8 +31,8 @@
         return new ShareReport(KEY, ++sequence, granted, 0, inUse, wanted, 0, 0, ShareReport.NO_COLD_SIGN);
     }
 
-    private int grant(ShareLedger leader, NodeName holder, ShareReport report, long now) {
-        return leader.report(holder, 1, report, now).orElseThrow().slots();
+    private int grant(ShareAllocator leader, NodeName holder, ShareReport report, long now) {
+        return leader.applyReport(holder, 1, report, now).orElseThrow().slots();
     }
 
     @Test
@@ -61,7 +61,7 @@
     })
     void reclaimsSlotsOfAnExpiredHolder(int running, long reportedAt, long requestedAt, int expected) {
         grant(allocator, A, report(0, 0, 10), 0);
-        allocator.endpointReport(KEY, running, reportedAt, 1_600);
+        allocator.applyEndpointReport(KEY, running, reportedAt, 1_600);
         assertThat(grant(allocator, B, report(0, 0, 10), requestedAt)).isEqualTo(expected);
     }
 
@@ -70,44 +70,47 @@
         grant(allocator, A, report(0, 0, 10), 0);
         grant(allocator, A, report(0, 3, 3), PAST_LEASE);
         assertThat(grant(allocator, B, report(0, 0, 10), PAST_LEASE + 1)).isAtMost(7);
-        assertThat(allocator.chargedSlots(KEY, PAST_LEASE + 1)).isAtMost(10);
+        assertThat(allocator.allocatedSlots(KEY, PAST_LEASE + 1)).isAtMost(10);
     }
 
     @Test
     void reportOlderThanTheLastOneChangesNothing() {
         ShareReport late = report(0, 0, 10);
         grant(allocator, A, report(0, 0, 10), 0);
-        assertThat(allocator.report(A, 1, late, 1)).isEmpty();
-        assertThat(allocator.report(A, 1, late, PAST_LEASE)).isEmpty();
-        assertThat(allocator.chargedSlots(KEY, PAST_LEASE)).isEqualTo(10);
+        assertThat(allocator.applyReport(A, 1, late, 1)).isEmpty();
+        assertThat(allocator.applyReport(A, 1, late, PAST_LEASE)).isEmpty();
+        assertThat(allocator.allocatedSlots(KEY, PAST_LEASE)).isEqualTo(10);
     }
 
     @Test
     void restartedHolderDoesNotInheritItsOldShare() {
         grant(allocator, A, report(0, 0, 10), 0);
-        assertThat(allocator.report(A, 2, report(0, 0, 10), 1).orElseThrow().slots())
+        assertThat(allocator
+                        .applyReport(A, 2, report(0, 0, 10), 1)
+                        .orElseThrow()
+                        .slots())
                 .isEqualTo(0);
-        assertThat(allocator.report(A, 1, report(10, 10, 10), 2)).isEmpty();
+        assertThat(allocator.applyReport(A, 1, report(10, 10, 10), 2)).isEmpty();
     }
 
     @Test
     void newLeaderAcceptsReportedSharesAndGrantsNothingElse() {
-        ShareLedger newLeader = allocator(5_000, Warmth.WARM);
+        ShareAllocator newLeader = allocator(5_000, WarmupState.WARM);
         assertThat(grant(newLeader, A, report(4, 4, 9), 100)).isEqualTo(4);
         assertThat(grant(newLeader, B, report(0, 0, 9), 101)).isEqualTo(0);
-        newLeader.endpointReport(KEY, 4, 5_500, 5_600);
+        newLeader.applyEndpointReport(KEY, 4, 5_500, 5_600);
         assertThat(grant(newLeader, B, report(0, 0, 9), 5_700)).isEqualTo(2);
-        assertThat(newLeader.chargedSlots(KEY, 5_700)).isEqualTo(10);
+        assertThat(newLeader.allocatedSlots(KEY, 5_700)).isEqualTo(10);
     }
 
     @Test
     void coldEndpointHasOneHolderAndGainsSlotsByWarmCompletions() {
-        ShareLedger cold = allocator(PREVIOUS_LEASES_END, Warmth.COLD);
+        ShareAllocator cold = allocator(PREVIOUS_LEASES_END, WarmupState.COLD);
         assertThat(grant(cold, A, report(0, 0, 9), 0)).isEqualTo(2);
         assertThat(grant(cold, B, report(0, 0, 9), 1)).isEqualTo(0);
         assertThat(grant(cold, A, report(2, 2, 9), 900)).isEqualTo(2);
         ShareReport evidence = new ShareReport(KEY, ++sequence, 2, 2, 0, 9, 0, 2, ShareReport.NO_COLD_SIGN);
-        cold.report(A, 1, evidence, 901);
+        cold.applyReport(A, 1, evidence, 901);
         assertThat(cold.availableSlots(KEY)).isEqualTo(4);
     }
 
@@ -117,7 +120,7 @@
         grant(allocator, B, report(0, 0, 5), 1);
         grant(allocator, A, report(10, 0, 5), 2);
         NodeName coldHolder = allocator.coldHolder(KEY).orElseThrow();
-        allocator.report(A, 1, new ShareReport(KEY, ++sequence, 0, 0, 0, 5, 0, 0, 0), 3);
+        allocator.applyReport(A, 1, new ShareReport(KEY, ++sequence, 0, 0, 0, 5, 0, 0, 0), 3);
         assertThat(allocator.availableSlots(KEY)).isEqualTo(2);
         assertThat(grant(allocator, A, report(0, 0, 5), 4)).isEqualTo(coldHolder.equals(A) ? 2 : 0);
         assertThat(grant(allocator, B, report(0, 0, 5), 5)).isEqualTo(coldHolder.equals(B) ? 2 : 0);
--- a/src/test/java/org/wigeongrade/decisions/log/RaftCoreProperties.java
+++ b/src/test/java/org/wigeongrade/decisions/log/RaftCoreProperties.java
@@ -49,7 +49,8 @@
             shrinking = ShrinkingMode.OFF)
     void fiveReplicasOfWhichThreeBootstrapAreSafeAndLive(@ForAll long seed) {
         requireSafeAndLive(
-                new SimulatedCluster(5, 3, VoterPolicy.bearing(2, REPLACE_SILENT_AFTER_NANOS), seed, Faults.ALL), seed);
+                new SimulatedCluster(5, 3, VoterPolicy.tolerating(2, REPLACE_SILENT_AFTER_NANOS), seed, Faults.ALL),
+                seed);
     }
 
     @Example
--- a/src/test/java/org/wigeongrade/decisions/log/RaftCoreTest.java
+++ b/src/test/java/org/wigeongrade/decisions/log/RaftCoreTest.java
@@ -34,7 +34,8 @@
         "requested incarnation and transferred leadership,    11, 300,  true,  true",
         "other incarnation and transferred leadership,        12, 300,  true,  false",
     })
-    void votes(String description, long incarnation, long afterMs, boolean leadershipTransferred, boolean granted) {
+    void grantsVoteOnlyForItsIncarnationAndAfterTheLease(
+            String description, long incarnation, long afterMs, boolean leadershipTransferred, boolean granted) {
         RaftCore core = core(TWO, RecoveredState.fresh(INCARNATION, true));
         core.receive(
                 ONE,
@@ -52,7 +53,7 @@
         "control-1, false, true,  true,  false",
         "control-2, true,  true,  true,  false",
     })
-    void bootstrapsOnlyIfTheFirstVoterHearsThatAllAreEmpty(
+    void bootstrapsOnlyOnTheFirstVoterAndIfAllAreEmpty(
             String self, boolean mayBootstrap, boolean firstEmpty, boolean secondEmpty, boolean starts) {
         RaftCore core = core(NodeName.of(self), RecoveredState.fresh(INCARNATION, mayBootstrap));
         core.tick(0);
@@ -69,7 +70,7 @@
         "control-1 control-2, true, false",
         "control-1 control-2 control-3, false, false"
     })
-    void answersEmptyOnlyForTheSameVotersAndAFolderThatWasNeverLost(
+    void repliesEmptyOnlyForTheSameVotersAndAFolderThatWasNeverLost(
             String configured, boolean mayBootstrap, boolean empty) {
         ImmutableSortedSet<NodeName> voters = Splitter.on(' ')
                 .splitToStream(configured)
@@ -82,7 +83,7 @@
 
     @ParameterizedTest
     @CsvSource({"false, ''", "true, DIGEST_MISMATCH"})
-    void anotherDigestAtTheSamePositionHalts(boolean differs, String reason) {
+    void differentDigestAtTheSamePositionHalts(boolean differs, String reason) {
         List<LogEntry> entries = entries(differs ? "other" : "same");
         RaftCore core = core(TWO, stored(entries("same")));
         Position previous = entries.get(1).position();
@@ -121,7 +122,7 @@
         "3, 1=1 2=2 3=3, 1=1, control-2, ''",
         "3, 1=1 2=2 3=3, 3=9 4=4, control-2, 1=1 2=2",
     })
-    void admitsInTwoChanges(int wantedVoters, String current, String caughtUp, String silent, String next) {
+    void replacesAVoterInTwoChanges(int wantedVoters, String current, String caughtUp, String silent, String next) {
         Membership membership = membership(current);
         Optional<Membership> found = PromotionRule.next(
                 membership,
--- a/src/test/java/org/wigeongrade/decisions/log/SimulatedCluster.java
+++ b/src/test/java/org/wigeongrade/decisions/log/SimulatedCluster.java
@@ -130,7 +130,7 @@
 
     private void boot(SimulatedNode node) {
         node.boot(settings[nodes.indexOf(node)], random, trueNanos);
-        nodes.forEach(peer -> node.core.orElseThrow().discover(peer.name));
+        nodes.forEach(peer -> node.core.orElseThrow().addDiscoveredPeer(peer.name));
         tick(node, node.bootEpoch);
     }
 
@@ -233,7 +233,7 @@
         send(node, outputs.afterPersist());
         if (!outputs.entries().isEmpty()) {
             LogEntry last = outputs.entries().get(outputs.entries().size() - 1);
-            node.core.orElseThrow().persisted(last.index(), last.term());
+            node.core.orElseThrow().onPersisted(last.index(), last.term());
         }
     }
 
@@ -291,7 +291,7 @@
     private void transferLeadership() {
         for (SimulatedNode node : nodes) {
             runWhenAwake(node, node.bootEpoch, () -> {
-                node.core.orElseThrow().handOver(node.clockNanos(trueNanos));
+                node.core.orElseThrow().transferLeadership(node.clockNanos(trueNanos));
                 processOutputs(node);
             });
         }
--- a/src/test/java/org/wigeongrade/decisions/membership/ServingLeasesTest.java
+++ b/src/test/java/org/wigeongrade/decisions/membership/ServingLeasesTest.java
@@ -1,10 +1,10 @@
 package org.wigeongrade.decisions.membership;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.wigeongrade.decisions.Sets.GUIDE;
-import static org.wigeongrade.decisions.Sets.GUIDE_1;
-import static org.wigeongrade.decisions.Sets.GUIDE_2;
-import static org.wigeongrade.decisions.Sets.ZONE_A;
+import static org.wigeongrade.decisions.TestDeclaredSets.GUIDE;
+import static org.wigeongrade.decisions.TestDeclaredSets.GUIDE_1;
+import static org.wigeongrade.decisions.TestDeclaredSets.GUIDE_2;
+import static org.wigeongrade.decisions.TestDeclaredSets.ZONE_A;
 
 import java.util.List;
 import java.util.Map;
@@ -89,7 +89,7 @@
 
         final ServingLease lease = ServingLeases.of(GROUP, Map.of(ZONE_A, ZoneState.OUT), table, 100);
 
-        assertThat(((ServingLease.Refused) lease).reason()).isEqualTo(NotServing.ZONE_OUT);
+        assertThat(((ServingLease.Refused) lease).reason()).isEqualTo(NotServingReason.ZONE_OUT);
     }
 
     /**
--- a/src/test/java/org/wigeongrade/decisions/outcomes/AttemptOutcomeTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/AttemptOutcomeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.wigeongrade.errors.RunClaim;
+import org.wigeongrade.errors.RunStatus;
 
 /** Checks how each way in which an attempt can end is classified. */
 final class AttemptOutcomeTest {
@@ -29,7 +29,7 @@
     }
 
     private static AttemptFacts withoutResponse(boolean requestBytesSent, AttemptFacts.End end) {
-        return AttemptFacts.noAnswer(requestBytesSent, end);
+        return AttemptFacts.withoutResponse(requestBytesSent, end);
     }
 
     @ParameterizedTest
@@ -53,8 +53,9 @@
         "200, false, true, STALL_DEADLINE_PASSED, STALLED",
         "200, false, true, CALLER_GONE, CANCELLED",
     })
-    void withAnswer(int status, boolean notRun, boolean idMatches, AttemptFacts.End end, AttemptEvent expected) {
-        AttemptFacts facts = AttemptFacts.answer(status, notRun, idMatches, end);
+    void classifiesAttemptWithResponse(
+            int status, boolean notRun, boolean idMatches, AttemptFacts.End end, AttemptEvent expected) {
+        AttemptFacts facts = AttemptFacts.withResponse(status, notRun, idMatches, end);
         assertThat(AttemptOutcome.of(facts).event()).isEqualTo(expected);
     }
 
@@ -62,7 +63,7 @@
     @ParameterizedTest
     @EnumSource(AttemptEvent.class)
     void errorKindClaimsNoMoreThanTheEvent(AttemptEvent event) {
-        event.errorKind().ifPresent(kind -> assertThat(kind.runClaim()).isEqualTo(event.claim()));
-        assertThat(event.errorKind().isEmpty()).isEqualTo(event.claim() == RunClaim.COMPLETED);
+        event.errorKind().ifPresent(kind -> assertThat(kind.runStatus()).isEqualTo(event.claim()));
+        assertThat(event.errorKind().isEmpty()).isEqualTo(event.claim() == RunStatus.COMPLETED);
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/outcomes/ClaimTableTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/ClaimTableTest.java
@@ -11,7 +11,7 @@
 import org.wigeongrade.decisions.control.CommandResult;
 import org.wigeongrade.decisions.control.StoredAnswer;
 import org.wigeongrade.errors.ErrorKind;
-import org.wigeongrade.errors.RunClaim;
+import org.wigeongrade.errors.RunStatus;
 import org.wigeongrade.ids.NodeName;
 import org.wigeongrade.ids.OrganisationName;
 import org.wigeongrade.ids.RequestId;
@@ -37,17 +37,17 @@
                 Arguments.of("r2", "d1", OUTCOME_DEADLINE_MS + 1, null, "outcome_unknown"),
                 Arguments.of("r1", "d1", OUTCOME_DEADLINE_MS + 1, null, "outcome_unknown"),
                 Arguments.of("r2", "d2", 1, null, "idempotency_key_reused"),
-                Arguments.of("r2", "d1", 1, RunClaim.UNKNOWN, "outcome_unknown"),
-                Arguments.of("r1", "d1", 1, RunClaim.UNKNOWN, "outcome_unknown"),
-                Arguments.of("r2", "d1", 1, RunClaim.COMPLETED, "answered"),
-                Arguments.of("r2", "d2", 1, RunClaim.COMPLETED, "idempotency_key_reused"),
-                Arguments.of("r2", "d1", 1, RunClaim.NOT_RUN, "accepted"),
-                Arguments.of("r2", "d2", 1, RunClaim.NOT_RUN, "accepted"));
+                Arguments.of("r2", "d1", 1, RunStatus.UNKNOWN, "outcome_unknown"),
+                Arguments.of("r1", "d1", 1, RunStatus.UNKNOWN, "outcome_unknown"),
+                Arguments.of("r2", "d1", 1, RunStatus.COMPLETED, "answered"),
+                Arguments.of("r2", "d2", 1, RunStatus.COMPLETED, "idempotency_key_reused"),
+                Arguments.of("r2", "d1", 1, RunStatus.NOT_RUN, "accepted"),
+                Arguments.of("r2", "d2", 1, RunStatus.NOT_RUN, "accepted"));
     }
 
     @ParameterizedTest
     @MethodSource("secondClaims")
-    void secondClaimOfAKey(String request, String digest, long atMs, RunClaim outcome, String expected) {
+    void secondClaimOfAKey(String request, String digest, long atMs, RunStatus outcome, String expected) {
         claim("carrick", "key", "r1", "d1", 0);
         if (outcome != null) {
             finish("key", "r1", outcome, 0);
@@ -69,17 +69,17 @@
      */
     static Stream<Arguments> finishes() {
         return Stream.of(
-                Arguments.of("r2", RunClaim.NOT_RUN, null, "idempotency_key_reused", "request_in_progress"),
-                Arguments.of("r1", RunClaim.NOT_RUN, RunClaim.UNKNOWN, "outcome_unknown", "outcome_unknown"),
-                Arguments.of("r1", RunClaim.COMPLETED, RunClaim.UNKNOWN, "accepted", "answered"),
-                Arguments.of("r1", RunClaim.NOT_RUN, RunClaim.COMPLETED, "accepted", "answered"),
-                Arguments.of("r1", RunClaim.UNKNOWN, RunClaim.COMPLETED, "accepted", "answered"),
-                Arguments.of("r1", RunClaim.COMPLETED, RunClaim.NOT_RUN, "not_found", "accepted"));
+                Arguments.of("r2", RunStatus.NOT_RUN, null, "idempotency_key_reused", "request_in_progress"),
+                Arguments.of("r1", RunStatus.NOT_RUN, RunStatus.UNKNOWN, "outcome_unknown", "outcome_unknown"),
+                Arguments.of("r1", RunStatus.COMPLETED, RunStatus.UNKNOWN, "accepted", "answered"),
+                Arguments.of("r1", RunStatus.NOT_RUN, RunStatus.COMPLETED, "accepted", "answered"),
+                Arguments.of("r1", RunStatus.UNKNOWN, RunStatus.COMPLETED, "accepted", "answered"),
+                Arguments.of("r1", RunStatus.COMPLETED, RunStatus.NOT_RUN, "not_found", "accepted"));
     }
 
     @ParameterizedTest
     @MethodSource("finishes")
-    void finish(String request, RunClaim outcome, RunClaim earlier, String expected, String nextClaim) {
+    void finish(String request, RunStatus outcome, RunStatus earlier, String expected, String nextClaim) {
         claim("carrick", "key", "r1", "d1", 0);
         if (earlier != null) {
             finish("key", "r1", earlier, 0);
@@ -104,7 +104,7 @@
         final int responses = 20;
         for (int i = 0; i < responses; i++) {
             claim("carrick", "key" + i, "r" + i, "d1", i);
-            finish("key" + i, "r" + i, RunClaim.COMPLETED, i, new byte[1024 * 1024]);
+            finish("key" + i, "r" + i, RunStatus.COMPLETED, i, new byte[1024 * 1024]);
         }
 
         assertThat(table.responseBytes()).isAtMost(ClaimTable.MAX_RESPONSE_BYTES);
@@ -148,12 +148,12 @@
         return table.claim(command, atMs, LONGEST_RUN_MS, Revision.NONE);
     }
 
-    private CommandResult finish(String key, String request, RunClaim outcome, long atMs) {
+    private CommandResult finish(String key, String request, RunStatus outcome, long atMs) {
         return finish(key, request, outcome, atMs, new byte[1]);
     }
 
-    private CommandResult finish(String key, String request, RunClaim outcome, long atMs, byte[] body) {
-        final StoredAnswer response = outcome == RunClaim.COMPLETED ? new StoredAnswer(200, "text/plain", body) : null;
+    private CommandResult finish(String key, String request, RunStatus outcome, long atMs, byte[] body) {
+        final StoredAnswer response = outcome == RunStatus.COMPLETED ? new StoredAnswer(200, "text/plain", body) : null;
         final Command.FinishClaim command = new Command.FinishClaim(
                 OrganisationName.of("carrick"), key, RequestId.of(request), outcome, response, atMs);
         return table.finish(command, atMs, Revision.NONE);
--- a/src/test/java/org/wigeongrade/decisions/outcomes/PreSendCheckTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/PreSendCheckTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.wigeongrade.errors.RunClaim;
+import org.wigeongrade.errors.RunStatus;
 
 /** The final check at time 100, with the deadlines of the view lease, serving lease, slot, claim and attempt. */
 final class PreSendCheckTest {
@@ -22,15 +22,15 @@
         "101, 101, 101, 101, 100, ATTEMPT_DEADLINE_PASSED",
         "9, 9, 9, 9, 9, VIEW_LEASE_ENDED",
     })
-    void check(long view, long serving, long slot, Long claim, long attempt, SendRefusal expected) {
+    void refusesAPassedDeadline(long view, long serving, long slot, Long claim, long attempt, SendRefusal expected) {
         OptionalLong claimDeadline = claim == null ? OptionalLong.empty() : OptionalLong.of(claim);
-        SendFacts facts = new SendFacts(view, serving, slot, claimDeadline, attempt);
-        assertThat(SendGate.check(facts, 100)).isEqualTo(Optional.ofNullable(expected));
+        SendDeadlines facts = new SendDeadlines(view, serving, slot, claimDeadline, attempt);
+        assertThat(PreSendCheck.check(facts, 100)).isEqualTo(Optional.ofNullable(expected));
     }
 
     @ParameterizedTest
     @EnumSource(SendRefusal.class)
     void refusalsClaimNotRun(SendRefusal refusal) {
-        assertThat(refusal.errorKind().runClaim()).isEqualTo(RunClaim.NOT_RUN);
+        assertThat(refusal.errorKind().runStatus()).isEqualTo(RunStatus.NOT_RUN);
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/outcomes/StreamAssemblerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/StreamAssemblerTest.java
@@ -25,22 +25,22 @@
     @Test
     void completeStreamIsForwardedUnderTheCallersId() {
         int attempt = assembler.beginAttempt();
-        StreamStep first = assembler.accept(attempt, chunk("up-1", "ab"));
-        assertThat(((StreamStep.Forward) first).data()).contains("\"id\":\"req-1\"");
-        assertThat(assembler.accept(attempt, finish("up-1"))).isInstanceOf(StreamStep.Nothing.class);
-        assertThat(assembler.accept(attempt, StreamAssembler.DONE_MARKER)).isInstanceOf(StreamStep.Finish.class);
-        assertThat(assembler.isWhole()).isTrue();
+        StreamAction first = assembler.accept(attempt, chunk("up-1", "ab"));
+        assertThat(((StreamAction.Forward) first).data()).contains("\"id\":\"req-1\"");
+        assertThat(assembler.accept(attempt, finish("up-1"))).isInstanceOf(StreamAction.Nothing.class);
+        assertThat(assembler.accept(attempt, StreamAssembler.DONE_MARKER)).isInstanceOf(StreamAction.Finish.class);
+        assertThat(assembler.isComplete()).isTrue();
         assertThat(assembler.text()).isEqualTo("ab");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"[DONE]", "{\"error\":{\"message\":\"out of memory\"}}", "{\"id\":", "[]"})
-    void brokenEndIsCutShort(String data) {
+    void malformedOrErrorEventCutsTheAttemptShort(String data) {
         int attempt = assembler.beginAttempt();
         assembler.accept(attempt, chunk("up-1", "ab"));
-        StreamStep.Fail fail = (StreamStep.Fail) assembler.accept(attempt, data);
+        StreamAction.Fail fail = (StreamAction.Fail) assembler.accept(attempt, data);
         assertThat(fail.event()).isEqualTo(AttemptEvent.CUT_SHORT);
-        assertThat(assembler.accept(attempt, chunk("up-1", "late"))).isInstanceOf(StreamStep.Nothing.class);
+        assertThat(assembler.accept(attempt, chunk("up-1", "late"))).isInstanceOf(StreamAction.Nothing.class);
         assertThat(assembler.text()).isEqualTo("ab");
     }
 
@@ -48,7 +48,7 @@
     void streamWithEventsOfTwoResponsesIsMismatched() {
         int attempt = assembler.beginAttempt();
         assembler.accept(attempt, chunk("up-1", "ab"));
-        StreamStep.Fail fail = (StreamStep.Fail) assembler.accept(attempt, chunk("up-2", "xy"));
+        StreamAction.Fail fail = (StreamAction.Fail) assembler.accept(attempt, chunk("up-2", "xy"));
         assertThat(fail.event()).isEqualTo(AttemptEvent.ANSWER_MISMATCHED);
         assertThat(assembler.text()).isEqualTo("ab");
     }
@@ -84,7 +84,7 @@
         StreamAssembler assembler = new StreamAssembler("req");
         StringBuilder received = new StringBuilder();
         int previous = 0;
-        while (!assembler.isWhole()) {
+        while (!assembler.isComplete()) {
             int attempt = assembler.beginAttempt();
             List<String> events = engineEvents(fullText, assembler.text(), "up-" + attempt, random);
             int cut = random.nextInt(4) == 0 ? events.size() : random.nextInt(events.size() + 1);
@@ -113,8 +113,8 @@
         return events;
     }
 
-    private static void appendContent(StreamStep step, StringBuilder received) {
-        if (step instanceof StreamStep.Forward forward) {
+    private static void appendContent(StreamAction step, StringBuilder received) {
+        if (step instanceof StreamAction.Forward forward) {
             int begin = forward.data().indexOf("\"content\":\"");
             if (begin >= 0) {
                 int from = begin + "\"content\":\"".length();
--- a/src/test/java/org/wigeongrade/decisions/outcomes/SuspectsTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/SuspectsTest.java
@@ -14,8 +14,8 @@
     private static final NodeName A = NodeName.of("a");
     private static final NodeName B = NodeName.of("b");
     private static final long MINUTE = TimeUnit.MINUTES.toNanos(1);
-    private static final EndpointLife E1 = new EndpointLife(EndpointId.of("e1"), 1);
-    private static final EndpointLife E2 = new EndpointLife(EndpointId.of("e2"), 1);
+    private static final EndpointIncarnation E1 = new EndpointIncarnation(EndpointId.of("e1"), 1);
+    private static final EndpointIncarnation E2 = new EndpointIncarnation(EndpointId.of("e2"), 1);
     private static final String BAD = "digest-bad";
     private static final String INNOCENT = "digest-innocent";
 
@@ -41,17 +41,17 @@
         a.endpointLost(E1);
         assertThat(exchange(A, a, 1)).isEmpty();
         exchange(B, b, 2);
-        assertThat(b.check(BAD, 3)).isInstanceOf(SuspectVerdict.ComeBack.class);
+        assertThat(b.check(BAD, 3)).isInstanceOf(SuspectDecision.RetryLater.class);
         exchange(B, b, 4);
-        assertThat(b.check(BAD, 5)).isInstanceOf(SuspectVerdict.RunAlone.class);
+        assertThat(b.check(BAD, 5)).isInstanceOf(SuspectDecision.RunAlone.class);
         b.begin(BAD, E2);
         assertThat(b.isReservedForSuspect(E2.endpoint())).isTrue();
-        assertThat(b.check(BAD, 6)).isInstanceOf(SuspectVerdict.ComeBack.class);
+        assertThat(b.check(BAD, 6)).isInstanceOf(SuspectDecision.RetryLater.class);
         b.endpointLost(E2);
         assertThat(exchange(B, b, 7)).hasSize(1);
         exchange(A, a, 8);
-        assertThat(a.check(BAD, 9)).isInstanceOf(SuspectVerdict.Quarantined.class);
-        assertThat(a.check(INNOCENT, 9)).isNotInstanceOf(SuspectVerdict.Quarantined.class);
+        assertThat(a.check(BAD, 9)).isInstanceOf(SuspectDecision.Quarantined.class);
+        assertThat(a.check(INNOCENT, 9)).isNotInstanceOf(SuspectDecision.Quarantined.class);
     }
 
     @Test
@@ -61,13 +61,13 @@
         exchange(A, a, 1);
         a.check(INNOCENT, 2);
         exchange(A, a, 3);
-        assertThat(a.check(INNOCENT, 4)).isInstanceOf(SuspectVerdict.RunAlone.class);
+        assertThat(a.check(INNOCENT, 4)).isInstanceOf(SuspectDecision.RunAlone.class);
         a.begin(INNOCENT, E2);
         a.end(INNOCENT, E2, AttemptEvent.ANSWERED);
         exchange(A, a, 5);
         exchange(B, b, 6);
-        assertThat(a.check(INNOCENT, 7)).isInstanceOf(SuspectVerdict.Clear.class);
-        assertThat(b.check(INNOCENT, 7)).isInstanceOf(SuspectVerdict.Clear.class);
+        assertThat(a.check(INNOCENT, 7)).isInstanceOf(SuspectDecision.Clear.class);
+        assertThat(b.check(INNOCENT, 7)).isInstanceOf(SuspectDecision.Clear.class);
     }
 
     @Test
@@ -80,28 +80,28 @@
         exchange(B, b, 3);
         b.check(BAD, 4);
         exchange(B, b, 5);
-        assertThat(a.check(BAD, 6)).isInstanceOf(SuspectVerdict.RunAlone.class);
-        assertThat(b.check(BAD, 6)).isInstanceOf(SuspectVerdict.ComeBack.class);
+        assertThat(a.check(BAD, 6)).isInstanceOf(SuspectDecision.RunAlone.class);
+        assertThat(b.check(BAD, 6)).isInstanceOf(SuspectDecision.RetryLater.class);
         long later = 2 * MINUTE;
-        assertThat(a.check(BAD, later)).isInstanceOf(SuspectVerdict.ComeBack.class);
+        assertThat(a.check(BAD, later)).isInstanceOf(SuspectDecision.RetryLater.class);
         b.check(BAD, later);
         exchange(B, b, later + 1);
-        assertThat(b.check(BAD, later + 2)).isInstanceOf(SuspectVerdict.RunAlone.class);
+        assertThat(b.check(BAD, later + 2)).isInstanceOf(SuspectDecision.RunAlone.class);
     }
 
     @Test
     void unwantedTrialIsReleased() {
         a.begin(BAD, E1);
         a.endpointLost(E1);
-        assertThat(a.check(BAD, 0)).isInstanceOf(SuspectVerdict.ComeBack.class);
+        assertThat(a.check(BAD, 0)).isInstanceOf(SuspectDecision.RetryLater.class);
         exchange(A, a, 1);
         long later = TimeUnit.SECONDS.toNanos(5);
         exchange(A, a, later);
         exchange(B, b, later);
         b.check(BAD, later);
         exchange(B, b, later);
-        assertThat(b.check(BAD, later + 1)).isInstanceOf(SuspectVerdict.RunAlone.class);
-        assertThat(a.check(BAD, later + 1)).isInstanceOf(SuspectVerdict.ComeBack.class);
+        assertThat(b.check(BAD, later + 1)).isInstanceOf(SuspectDecision.RunAlone.class);
+        assertThat(a.check(BAD, later + 1)).isInstanceOf(SuspectDecision.RetryLater.class);
     }
 
     @Test
--- a/src/test/java/org/wigeongrade/decisions/placement/PlacementPlannerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/placement/PlacementPlannerTest.java
@@ -2,16 +2,16 @@
 
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
-import static org.wigeongrade.decisions.Sets.GUIDE_1;
-import static org.wigeongrade.decisions.Sets.GUIDE_2;
+import static org.wigeongrade.decisions.TestDeclaredSets.GUIDE_1;
+import static org.wigeongrade.decisions.TestDeclaredSets.GUIDE_2;
 
 import com.google.common.collect.ImmutableSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.wigeongrade.bench.VirtualFleet;
 import org.wigeongrade.bench.VirtualVm;
-import org.wigeongrade.decisions.Sets;
-import org.wigeongrade.decisions.config.PlacementWeight;
+import org.wigeongrade.decisions.TestDeclaredSets;
+import org.wigeongrade.decisions.config.PlacementObjective;
 import org.wigeongrade.decisions.config.PoolDeclaration;
 import org.wigeongrade.decisions.control.FormedGroup;
 import org.wigeongrade.decisions.control.ZoneState;
@@ -23,7 +23,7 @@
     @Test
     void formsDeclaredGroupsInOneDomainEachAndBalancesZones() {
         final VirtualFleet fleet = VirtualFleets.of(1, 4);
-        fleet.declare(Sets.with(Sets.pool(3, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(3, 2)));
 
         VirtualFleets.run(fleet, 30);
 
@@ -38,10 +38,10 @@
     @Test
     void lostMemberIsReplacedBySpareOfTheSameDomain() {
         final VirtualFleet fleet = VirtualFleets.of(1, 3);
-        fleet.declare(Sets.with(Sets.pool(3, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(3, 2)));
         VirtualFleets.run(fleet, 30);
         final FormedGroup before = fleet.servingGroups().get(0);
-        final VirtualVm lost = VirtualFleets.vm(fleet, before.first().vm().value());
+        final VirtualVm lost = VirtualFleets.vm(fleet, before.firstMember().vm().value());
 
         lost.stop();
         VirtualFleets.run(fleet, 40);
@@ -56,11 +56,11 @@
     @Test
     void groupWithoutSpareIsFormedInAnotherDomainAndFreesItsVms() {
         final VirtualFleet fleet = VirtualFleets.of(2, 2);
-        fleet.declare(Sets.with(Sets.pool(3, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(3, 2)));
         VirtualFleets.run(fleet, 30);
         final FormedGroup before = fleet.servingGroups().get(0);
 
-        VirtualFleets.vm(fleet, before.first().vm().value()).stop();
+        VirtualFleets.vm(fleet, before.firstMember().vm().value()).stop();
         VirtualFleets.run(fleet, 40);
 
         final FormedGroup after = group(fleet, before.group());
@@ -72,7 +72,7 @@
     @Test
     void restartedMemberDissolvesItsGroup() {
         final VirtualFleet fleet = VirtualFleets.of(1, 2);
-        fleet.declare(Sets.with(Sets.pool(1, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(1, 2)));
         VirtualFleets.run(fleet, 30);
 
         VirtualFleets.vm(fleet, "zone-a-d1-v1").restart();
@@ -87,21 +87,22 @@
     @Test
     void zoneOutOfServiceGetsNoNewGroup() {
         final VirtualFleet fleet = VirtualFleets.of(1, 4);
-        fleet.declare(Sets.with(Sets.pool(0, 2)));
-        fleet.setZone(Sets.ZONE_A, ZoneState.OUT);
-        fleet.declare(Sets.with(Sets.pool(4, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(0, 2)));
+        fleet.setZone(TestDeclaredSets.ZONE_A, ZoneState.OUT);
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(4, 2)));
 
         VirtualFleets.run(fleet, 30);
 
         assertThat(fleet.servingGroups()).hasSize(4);
-        assertThat(zonesOf(fleet)).containsExactly(Sets.ZONE_B, Sets.ZONE_C);
+        assertThat(zonesOf(fleet)).containsExactly(TestDeclaredSets.ZONE_B, TestDeclaredSets.ZONE_C);
     }
 
     @Test
     void groupsAreHeldWhenEveryZoneIsOutOfService() {
         final VirtualFleet fleet = VirtualFleets.of(1, 4);
-        fleet.declare(Sets.with(Sets.pool(1, 2)));
-        List.of(Sets.ZONE_A, Sets.ZONE_B, Sets.ZONE_C).forEach(zone -> fleet.setZone(zone, ZoneState.OUT));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(1, 2)));
+        List.of(TestDeclaredSets.ZONE_A, TestDeclaredSets.ZONE_B, TestDeclaredSets.ZONE_C)
+                .forEach(zone -> fleet.setZone(zone, ZoneState.OUT));
 
         VirtualFleets.run(fleet, 1);
 
@@ -111,10 +112,10 @@
     @Test
     void fewerReplicasDissolveTheHighestNumbersAndFreeTheirVms() {
         final VirtualFleet fleet = VirtualFleets.of(1, 4);
-        fleet.declare(Sets.with(Sets.pool(4, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(4, 2)));
         VirtualFleets.run(fleet, 30);
 
-        fleet.declare(Sets.with(Sets.pool(2, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(2, 2)));
         VirtualFleets.run(fleet, 5);
 
         assertThat(fleet.state().groups().stream().map(FormedGroup::group))
@@ -126,10 +127,10 @@
     @Test
     void newModelVersionReplacesOneGroupAtATime() {
         final VirtualFleet fleet = VirtualFleets.of(1, 4);
-        fleet.declare(Sets.with(Sets.pool(4, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(4, 2)));
         VirtualFleets.run(fleet, 30);
 
-        fleet.declare(Sets.with(pool(4, PlacementWeight.GROUP_DOWNTIME, 0, true, 100, true)));
+        fleet.declare(TestDeclaredSets.with(pool(4, PlacementObjective.GROUP_DOWNTIME, 0, true, 100, true)));
         for (int second = 0; second < 200; second++) {
             fleet.step(VirtualFleets.SECOND_NANOS);
             assertWithMessage("second %s", second)
@@ -144,7 +145,7 @@
     @Test
     void concurrentLoadsAreLimited() {
         final VirtualFleet fleet = VirtualFleets.of(1, 4);
-        fleet.declare(Sets.with(pool(4, PlacementWeight.GROUP_DOWNTIME, 0, true, 1, false)));
+        fleet.declare(TestDeclaredSets.with(pool(4, PlacementObjective.GROUP_DOWNTIME, 0, true, 1, false)));
 
         VirtualFleets.run(fleet, 10);
 
@@ -157,9 +158,10 @@
     @Test
     void sparesAreKeptOnlyForGroupDowntimeObjective() {
         final VirtualFleet keepingSpares = VirtualFleets.of(1, 2);
-        keepingSpares.declare(Sets.with(pool(3, PlacementWeight.GROUP_DOWNTIME, 1, true, 100, false)));
+        keepingSpares.declare(TestDeclaredSets.with(pool(3, PlacementObjective.GROUP_DOWNTIME, 1, true, 100, false)));
         final VirtualFleet packingVms = VirtualFleets.of(1, 2);
-        packingVms.declare(Sets.with(pool(3, PlacementWeight.STRANDED_ACCELERATORS, 1, true, 100, false)));
+        packingVms.declare(
+                TestDeclaredSets.with(pool(3, PlacementObjective.STRANDED_ACCELERATORS, 1, true, 100, false)));
 
         VirtualFleets.run(keepingSpares, 30);
         VirtualFleets.run(packingVms, 30);
@@ -172,7 +174,7 @@
     @Test
     void newLeaderKeepsGroupsOfMembersItHasNotHeardOfYet() {
         final VirtualFleet fleet = VirtualFleets.of(1, 2);
-        fleet.declare(Sets.with(Sets.pool(3, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(3, 2)));
         VirtualFleets.run(fleet, 30);
         final VirtualVm paused = VirtualFleets.vm(fleet, "zone-a-d1-v1");
 
@@ -188,7 +190,7 @@
     @Test
     void newLeaderHoldsOrdersToEndpointsThatIgnoreFencingTokens() {
         final VirtualFleet fleet = VirtualFleets.of(1, 2);
-        fleet.declare(Sets.with(pool(1, PlacementWeight.GROUP_DOWNTIME, 0, false, 100, false)));
+        fleet.declare(TestDeclaredSets.with(pool(1, PlacementObjective.GROUP_DOWNTIME, 0, false, 100, false)));
         fleet.changeLeader();
 
         VirtualFleets.run(fleet, 2);
@@ -201,20 +203,20 @@
     @Test
     void vmsFollowNewControlStateAfterOldStateWasLost() {
         final VirtualFleet before = VirtualFleets.of(1, 2);
-        before.declare(Sets.with(Sets.pool(3, 2)));
+        before.declare(TestDeclaredSets.with(TestDeclaredSets.pool(3, 2)));
         before.changeLeader();
         VirtualFleets.run(before, 30);
 
         final VirtualFleet after = new VirtualFleet(before.vms(), PlacementPlanner::plan);
-        after.declare(Sets.with(pool(3, PlacementWeight.GROUP_DOWNTIME, 0, true, 100, true)));
+        after.declare(TestDeclaredSets.with(pool(3, PlacementObjective.GROUP_DOWNTIME, 0, true, 100, true)));
         VirtualFleets.run(after, 60);
 
         assertThat(after.servingGroups()).hasSize(3);
     }
 
     private static PoolDeclaration pool(
-            int replicas, PlacementWeight weighs, int spares, boolean fencing, int maxLoads, boolean newVersion) {
-        return Sets.pool(replicas, 2, newVersion ? GUIDE_2 : GUIDE_1, weighs, spares, fencing, maxLoads);
+            int replicas, PlacementObjective weighs, int spares, boolean fencing, int maxLoads, boolean newVersion) {
+        return TestDeclaredSets.pool(replicas, 2, newVersion ? GUIDE_2 : GUIDE_1, weighs, spares, fencing, maxLoads);
     }
 
     private static FormedGroup group(VirtualFleet fleet, GroupName name) {
--- a/src/test/java/org/wigeongrade/decisions/placement/PlacementProperties.java
+++ b/src/test/java/org/wigeongrade/decisions/placement/PlacementProperties.java
@@ -2,8 +2,8 @@
 
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
-import static org.wigeongrade.decisions.Sets.GUIDE_1;
-import static org.wigeongrade.decisions.Sets.GUIDE_2;
+import static org.wigeongrade.decisions.TestDeclaredSets.GUIDE_1;
+import static org.wigeongrade.decisions.TestDeclaredSets.GUIDE_2;
 
 import java.util.Arrays;
 import java.util.HashSet;
@@ -15,9 +15,9 @@
 import net.jqwik.api.Property;
 import org.wigeongrade.bench.VirtualFleet;
 import org.wigeongrade.bench.VirtualVm;
-import org.wigeongrade.decisions.Sets;
+import org.wigeongrade.decisions.TestDeclaredSets;
 import org.wigeongrade.decisions.config.DeclaredSet;
-import org.wigeongrade.decisions.config.PlacementWeight;
+import org.wigeongrade.decisions.config.PlacementObjective;
 import org.wigeongrade.decisions.config.PoolDeclaration;
 import org.wigeongrade.decisions.control.Command;
 import org.wigeongrade.decisions.control.ControlCodec;
@@ -31,19 +31,20 @@
 /** Checks invariants of the control state and the planner under random disturbances in virtual time. */
 final class PlacementProperties {
     private static final int STEPS = 120;
-    private static final List<AvailabilityZone> ZONES = List.of(Sets.ZONE_A, Sets.ZONE_B, Sets.ZONE_C);
+    private static final List<AvailabilityZone> ZONES =
+            List.of(TestDeclaredSets.ZONE_A, TestDeclaredSets.ZONE_B, TestDeclaredSets.ZONE_C);
 
     @Property(tries = 120, seed = "41")
     void noVmIsInTwoGroupsAndNoGroupServesWithAMemberMissing(@ForAll long seed) {
         final VirtualFleet fleet = VirtualFleets.of(2, 3);
         final Random random = new Random(seed);
-        fleet.declare(Sets.with(pool(random)));
+        fleet.declare(TestDeclaredSets.with(pool(random)));
         ControlState lagging = ControlState.restore(fleet.state().snapshot());
         for (int step = 0; step < STEPS; step++) {
             disturbAtRandom(fleet, random);
             proposeCommittedCommandAgain(fleet, random);
             if (random.nextInt(8) == 0) {
-                fleet.proposePlanOf(lagging);
+                fleet.commitPlanFrom(lagging);
                 lagging = ControlState.restore(fleet.state().snapshot());
             }
             fleet.step(VirtualFleets.SECOND_NANOS);
@@ -56,14 +57,14 @@
     void afterTheLastDisturbanceEveryGroupThatFitsServesAgain(@ForAll long seed) {
         final VirtualFleet fleet = VirtualFleets.of(2, 3);
         final Random random = new Random(seed);
-        fleet.declare(Sets.with(pool(random)));
+        fleet.declare(TestDeclaredSets.with(pool(random)));
         for (int step = 0; step < STEPS; step++) {
             disturbAtRandom(fleet, random);
             fleet.step(VirtualFleets.SECOND_NANOS);
         }
         ZONES.forEach(zone -> fleet.setZone(zone, ZoneState.IN));
         fleet.vms().stream().filter(vm -> !vm.isRunning()).forEach(VirtualVm::restart);
-        fleet.declare(Sets.with(Sets.pool(6, 2)));
+        fleet.declare(TestDeclaredSets.with(TestDeclaredSets.pool(6, 2)));
 
         VirtualFleets.run(fleet, 400);
 
@@ -76,7 +77,7 @@
     void restoredStateEqualsStateThatAppliedEveryCommand(@ForAll long seed) {
         final VirtualFleet fleet = VirtualFleets.of(2, 3);
         final Random random = new Random(seed);
-        fleet.declare(Sets.with(pool(random)));
+        fleet.declare(TestDeclaredSets.with(pool(random)));
         for (int step = 0; step < STEPS; step++) {
             disturbAtRandom(fleet, random);
             fleet.step(VirtualFleets.SECOND_NANOS);
@@ -107,7 +108,7 @@
             case 4 -> fleet.changeLeader();
             case 5 -> fleet.setZone(ZONES.get(random.nextInt(3)), ZoneState.OUT);
             case 6, 7 -> fleet.setZone(ZONES.get(random.nextInt(3)), ZoneState.IN);
-            case 8 -> fleet.declare(Sets.with(pool(random)));
+            case 8 -> fleet.declare(TestDeclaredSets.with(pool(random)));
             case 9 ->
                 fleet.vms().stream()
                         .filter(other -> other.domain().equals(vm.domain()))
@@ -132,11 +133,11 @@
     }
 
     private static PoolDeclaration pool(Random random) {
-        return Sets.pool(
+        return TestDeclaredSets.pool(
                 random.nextInt(8),
                 1 + random.nextInt(3),
                 random.nextBoolean() ? GUIDE_1 : GUIDE_2,
-                random.nextBoolean() ? PlacementWeight.GROUP_DOWNTIME : PlacementWeight.STRANDED_ACCELERATORS,
+                random.nextBoolean() ? PlacementObjective.GROUP_DOWNTIME : PlacementObjective.STRANDED_ACCELERATORS,
                 random.nextInt(2),
                 random.nextBoolean(),
                 1 + random.nextInt(4));
@@ -158,8 +159,8 @@
         assertThat(fleet.state().zoneStates().get(group.zone())).isEqualTo(ZoneState.IN);
         for (final VmIncarnation member : group.members()) {
             final VirtualVm vm = vm(fleet, member.vm());
-            final boolean present =
-                    vm.identity().equals(member) && fleet.nowNanos() - vm.announcedAtNanos() < VirtualFleet.LEASE_NANOS;
+            final boolean present = vm.identity().equals(member)
+                    && fleet.nowNanos() - vm.lastAnnouncedAtNanos() < VirtualFleet.LEASE_NANOS;
             assertWithMessage("%s of %s", member, group.group()).that(present).isTrue();
         }
     }
--- a/src/test/java/org/wigeongrade/decisions/placement/ReasonCodesTest.java
+++ b/src/test/java/org/wigeongrade/decisions/placement/ReasonCodesTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.wigeongrade.decisions.control.GroupRefusal;
-import org.wigeongrade.decisions.membership.NotServing;
+import org.wigeongrade.decisions.membership.NotServingReason;
 
 final class ReasonCodesTest {
     static Stream<String> codes() {
         return Stream.of(
                         Arrays.stream(PlacementReason.values()).map(PlacementReason::code),
                         Arrays.stream(GroupRefusal.values()).map(GroupRefusal::code),
-                        Arrays.stream(NotServing.values()).map(NotServing::code))
+                        Arrays.stream(NotServingReason.values()).map(NotServingReason::code))
                 .flatMap(codes -> codes);
     }
 
--- a/src/test/java/org/wigeongrade/decisions/placement/VirtualFleets.java
+++ b/src/test/java/org/wigeongrade/decisions/placement/VirtualFleets.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.wigeongrade.bench.VirtualFleet;
 import org.wigeongrade.bench.VirtualVm;
-import org.wigeongrade.decisions.Sets;
+import org.wigeongrade.decisions.TestDeclaredSets;
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.ids.FabricDomain;
 import org.wigeongrade.ids.VmName;
@@ -19,7 +19,8 @@
     /** Returns a fleet of three availability zones with the given fabric domains and VMs in each. */
     static VirtualFleet of(int domainsPerZone, int vmsPerDomain) {
         final List<VirtualVm> vms = new ArrayList<>();
-        for (final AvailabilityZone zone : List.of(Sets.ZONE_A, Sets.ZONE_B, Sets.ZONE_C)) {
+        for (final AvailabilityZone zone :
+                List.of(TestDeclaredSets.ZONE_A, TestDeclaredSets.ZONE_B, TestDeclaredSets.ZONE_C)) {
             for (int domain = 1; domain <= domainsPerZone; domain++) {
                 addDomain(vms, zone, zone.value() + "-d" + domain, vmsPerDomain);
             }
--- a/src/test/java/org/wigeongrade/decisions/published/PublishedCheckerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/published/PublishedCheckerTest.java
@@ -79,13 +79,13 @@
         "STREAMING, true, true",
         "STREAMING, false, false",
     })
-    void kindDecidesWhatMayBeRepeated(RouteKind kind, boolean resumable, boolean retryable) {
+    void kindDecidesWhetherRequestMayBeRetried(RouteKind kind, boolean resumable, boolean retryable) {
         assertThat(kind.mayRetry(resumable)).isEqualTo(retryable);
     }
 
     @ParameterizedTest
     @CsvSource({"0, first", "0.89, first", "0.9, second", "0.999, second"})
-    void weightsDivideRequests(double point, String expected) {
+    void splitsRequestsByWeight(double point, String expected) {
         final Route split = new Route(
                 RouteName.of("split"),
                 "host",
--- a/src/test/java/org/wigeongrade/decisions/published/PublishedStateMachineTest.java
+++ b/src/test/java/org/wigeongrade/decisions/published/PublishedStateMachineTest.java
@@ -53,7 +53,8 @@
 
     private PublishOutcome publish(long version, String document) {
         final Bytes bytes = Bytes.wrap(document.getBytes(StandardCharsets.UTF_8));
-        return PublishedStateMachine.outcome(machine.apply(new PublishedCommand.Publish(version, bytes).encode()));
+        return PublishedStateMachine.decodeOutcome(
+                machine.apply(new PublishedCommand.Publish(version, bytes).encode()));
     }
 
     private static String document(PublishedStateMachine machine) {
--- a/src/test/java/org/wigeongrade/decisions/routing/RetriesTest.java
+++ b/src/test/java/org/wigeongrade/decisions/routing/RetriesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.wigeongrade.errors.RunClaim;
+import org.wigeongrade.errors.RunStatus;
 import org.wigeongrade.ids.ServiceName;
 
 /** Which requests may be retried, and how many retries the budget allows. */
@@ -27,8 +27,8 @@
         "NOT_RUN, true, true, 1, 49, DEADLINE_TOO_NEAR",
         "NOT_RUN, true, true, 1, -1, DEADLINE_TOO_NEAR",
     })
-    void rules(
-            RunClaim claim,
+    void rulesRefuseRetries(
+            RunStatus claim,
             boolean idempotent,
             boolean resumable,
             int attemptsMade,
@@ -42,10 +42,10 @@
     @Test
     void budgetIsReservePlusFractionOfFirstAttempts() {
         Retries retries = new Retries(new RetryBudget(0.1, 2));
-        RetryFacts facts = new RetryFacts(TARGET, RunClaim.NOT_RUN, true, true, 1, 3, SECOND_NANOS, 0);
+        RetryFacts facts = new RetryFacts(TARGET, RunStatus.NOT_RUN, true, true, 1, 3, SECOND_NANOS, 0);
         int taken = 0;
         for (int i = 0; i < 1_000; i++) {
-            retries.firstAttempt(TARGET);
+            retries.recordFirstAttempt(TARGET);
             taken += retries.refusal(facts).isEmpty() ? 1 : 0;
         }
         assertThat(taken).isAtMost(102);
--- a/src/test/java/org/wigeongrade/decisions/routing/UnreachableEndpointsTest.java
+++ b/src/test/java/org/wigeongrade/decisions/routing/UnreachableEndpointsTest.java
@@ -21,9 +21,9 @@
         "guide/1, 8, 500, false",
         "guide/2, 7, 500, false",
     })
-    void leavesOutTheRefusingIncarnationUntilTheDeadline(String id, long incarnation, long nowNanos, boolean excluded) {
+    void excludesTheFailedIncarnationUntilTheDeadline(String id, long incarnation, long nowNanos, boolean excluded) {
         UnreachableEndpoints unreachable = new UnreachableEndpoints(EXCLUSION_NANOS);
-        unreachable.refused(endpoint("guide/1", 7), 0);
+        unreachable.recordConnectFailure(endpoint("guide/1", 7), 0);
         EndpointView endpoint = endpoint(id, incarnation);
 
         assertThat(unreachable.isUnreachable(endpoint, nowNanos)).isEqualTo(excluded);
--- a/src/test/java/org/wigeongrade/fleet/SuspendAwareClockTest.java
+++ b/src/test/java/org/wigeongrade/fleet/SuspendAwareClockTest.java
@@ -17,7 +17,7 @@
         "100, -2300, 100",
         "0, 2400, 2400",
     })
-    void countsJumpsOfTheTimeOfDayForwardOnly(long monotonicMs, long wallMs, long expectedMs) {
+    void countsOnlyForwardJumpsOfTheWallClock(long monotonicMs, long wallMs, long expectedMs) {
         final AtomicLong monotonicNanos = new AtomicLong(TimeUnit.SECONDS.toNanos(1));
         final AtomicLong epochMs = new AtomicLong(1_000_000);
         final SuspendAwareClock clock = new SuspendAwareClock(monotonicNanos::get, epochMs::get);
--- a/src/test/java/org/wigeongrade/fleet/entry/EndpointResponseHandlerTest.java
+++ b/src/test/java/org/wigeongrade/fleet/entry/EndpointResponseHandlerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.wigeongrade.platform.CallerMessages;
+import org.wigeongrade.platform.PlatformCallerCodec;
 
 /** Tests late, duplicate, unrelated and truncated responses on one connection to an endpoint. */
 final class EndpointResponseHandlerTest {
@@ -31,7 +31,7 @@
     private final List<Long> keptIdleMs = new ArrayList<>();
     private final EmbeddedChannel channel = new EmbeddedChannel(
             new HttpClientCodec(),
-            new EndpointResponseHandler(new CallerMessages(), (connection, idleMs) -> keptIdleMs.add(idleMs)));
+            new EndpointResponseHandler(new PlatformCallerCodec(), (connection, idleMs) -> keptIdleMs.add(idleMs)));
 
     @Test
     void completeResponseEndsTheCallAndKeepsTheConnection() {
@@ -44,7 +44,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 10, 1_000})
-    void answerOfAnotherRequestIsSkipped(int chunkBytes) {
+    void responseToAnotherRequestIsSkipped(int chunkBytes) {
         sendRequest();
         final String both = OTHER + EXPECTED;
         for (int from = 0; from < both.length(); from += chunkBytes) {
@@ -129,7 +129,7 @@
 
     private final class Recorder implements EndpointListener {
         @Override
-        public void onHead(AnswerHead head) {
+        public void onHead(ResponseHead head) {
             reported.add("head " + head.status());
         }
 
--- a/src/test/java/org/wigeongrade/fleet/entry/ExchangeFailoverTest.java
+++ b/src/test/java/org/wigeongrade/fleet/entry/ExchangeFailoverTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wigeongrade.decisions.balancing.Balancer;
-import org.wigeongrade.decisions.balancing.RetryAllowance;
+import org.wigeongrade.decisions.balancing.RetryBudgetShare;
 import org.wigeongrade.decisions.log.Bytes;
 import org.wigeongrade.decisions.published.CallerLimits;
 import org.wigeongrade.decisions.published.PublishedConfiguration;
@@ -31,8 +31,8 @@
 import org.wigeongrade.decisions.published.Route;
 import org.wigeongrade.decisions.published.RouteKind;
 import org.wigeongrade.decisions.published.WeightedTarget;
-import org.wigeongrade.fleet.net.EventLoop;
 import org.wigeongrade.fleet.net.HttpReply;
+import org.wigeongrade.fleet.net.SharedEventLoop;
 import org.wigeongrade.fleet.thrift.RoutableRecord;
 import org.wigeongrade.ids.AvailabilityZone;
 import org.wigeongrade.ids.RouteName;
@@ -40,7 +40,7 @@
 import org.wigeongrade.ids.VmName;
 import org.wigeongrade.logging.EventLog;
 import org.wigeongrade.metrics.Metrics;
-import org.wigeongrade.platform.CallerMessages;
+import org.wigeongrade.platform.PlatformCallerCodec;
 
 /** Tests a request at a stalled endpoint while another endpoint has free slots or is full. */
 final class ExchangeFailoverTest {
@@ -53,7 +53,7 @@
      */
     private static final long STALL_MS = 700;
 
-    private final EventLoop loop = new EventLoop();
+    private final SharedEventLoop loop = new SharedEventLoop();
     private final List<String> written = new CopyOnWriteArrayList<>();
     private final List<ServerSocket> endpoints = new ArrayList<>();
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
@@ -68,7 +68,7 @@
 
     @ParameterizedTest
     @CsvSource({"0, 2", "40, 1"})
-    void requestMovesOnlyToAnEndpointThatHasRoom(int requestsAtOther, int expectedConnections)
+    void requestFailsOverOnlyToAnEndpointWithFreeSlots(int requestsAtOther, int expectedConnections)
             throws IOException, InterruptedException, ExecutionException {
         final RoutableRecord silent = endpoint("silent");
         final RoutableRecord other = endpoint("other");
@@ -147,7 +147,7 @@
     }
 
     private EntryServices services(EndpointRegistry registry) {
-        final CallerMessages codec = new CallerMessages();
+        final PlatformCallerCodec codec = new PlatformCallerCodec();
         return new EntryServices(
                 ZONE,
                 loop,
@@ -155,7 +155,7 @@
                 registry,
                 new EndpointConnectionPool(loop, codec, System::nanoTime),
                 new Balancer(new SplittableRandom(1)),
-                new RetryAllowance(0.2, 100, TimeUnit.SECONDS.toNanos(10)),
+                new RetryBudgetShare(0.2, 100, TimeUnit.SECONDS.toNanos(10)),
                 new ColdStartLimits(1.5, 5),
                 new SplittableRandom(1),
                 new EventLog(),
--- a/src/test/java/org/wigeongrade/fleet/entry/ServerSentEventSplitterTest.java
+++ b/src/test/java/org/wigeongrade/fleet/entry/ServerSentEventSplitterTest.java
@@ -15,7 +15,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1_000})
-    void eventsAreTheSameHoweverTheBytesAreCut(int chunkBytes) {
+    void eventsDoNotDependOnHowTheBytesAreChunked(int chunkBytes) {
         final ServerSentEventSplitter splitter = new ServerSentEventSplitter();
         final List<ServerSentEventSplitter.Event> events = new ArrayList<>();
         final byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/org/wigeongrade/metrics/ErrorTableTest.java
+++ b/src/test/java/org/wigeongrade/metrics/ErrorTableTest.java
@@ -54,7 +54,7 @@
         final String series = "wigeongrade_refusals_total{reason=\"" + kind.code() + "\"} ";
 
         assertThat(metrics.render()).contains(series + "0.0\n");
-        metrics.refused(kind);
+        metrics.countRefusal(kind);
 
         assertThat(metrics.render()).contains(series + "1.0\n");
     }
@@ -66,7 +66,7 @@
         final String series = "wigeongrade_retries_total{reason=\"" + reason.code() + "\"} ";
 
         assertThat(metrics.render()).contains(series + "0.0\n");
-        metrics.retried(reason);
+        metrics.countRetry(reason);
 
         assertThat(metrics.render()).contains(series + "1.0\n");
     }
@@ -75,7 +75,7 @@
     @EnumSource(MetricName.class)
     void everySeriesIsExposed(MetricName name) {
         final Metrics metrics = new Metrics();
-        metrics.requestEnded(AvailabilityZone.of("zone-a"), RequestOutcome.COMPLETED, 5);
+        metrics.recordRequest(AvailabilityZone.of("zone-a"), RequestOutcome.COMPLETED, 5);
         metrics.addGroupDowntimeMs(PoolName.of("chat"), 1_500);
         metrics.addStrandedAcceleratorMs(PoolName.of("chat"), 1_500);
 
@@ -88,7 +88,7 @@
     void timesAreExposedInSeconds() {
         final Metrics metrics = new Metrics();
         metrics.addGroupDowntimeMs(PoolName.of("chat"), 1_500);
-        metrics.firstByteSent(50_000_000);
+        metrics.recordTimeToFirstByte(50_000_000);
 
         assertThat(metrics.render()).contains("wigeongrade_group_downtime_seconds_total{pool=\"chat\"} 1.5\n");
         assertThat(metrics.render()).contains("wigeongrade_time_to_first_byte_seconds_sum 0.05\n");
@@ -97,7 +97,11 @@
     private static String row(ErrorKind kind) {
         return "| `%s` | %d | %s | %d | %s |"
                 .formatted(
-                        kind.code(), kind.httpStatus(), kind.runClaim().headerValue(), kind.retryAfterMs(), kind.fix());
+                        kind.code(),
+                        kind.httpStatus(),
+                        kind.runStatus().headerValue(),
+                        kind.retryAfterMs(),
+                        kind.fix());
     }
 
     private static List<String> rowsOf(Path page, String pattern) throws IOException {
--- a/src/test/java/org/wigeongrade/nodes/log/PeerSenderTest.java
+++ b/src/test/java/org/wigeongrade/nodes/log/PeerSenderTest.java
@@ -28,7 +28,7 @@
             server.setSoTimeout(5_000);
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
             try (PeerSender sender = new PeerSender(NodeName.of("a"), NodeName.of("b"), address)) {
-                sender.send(new LogMessage.HandOver(1, 1));
+                sender.send(new LogMessage.TransferLeadership(1, 1));
                 try (Socket silent = server.accept()) {
                     silent.setSoTimeout(5_000);
                     readToEnd(silent);
@@ -45,7 +45,7 @@
     @Test
     void aFullQueueDropsTheOldestHeartbeatFirst() throws InterruptedException {
         PeerQueue queue = new PeerQueue();
-        LogMessage first = new LogMessage.HandOver(1, 1);
+        LogMessage first = new LogMessage.TransferLeadership(1, 1);
         queue.add(first);
         for (int i = 0; i < CAPACITY; i++) {
             queue.add(heartbeat(i));
@@ -63,7 +63,7 @@
     private static Socket acceptWhileSending(ServerSocket server, PeerSender sender) throws IOException {
         server.setSoTimeout(RESEND_MS);
         for (int attempt = 0; attempt < RESENDS; attempt++) {
-            sender.send(new LogMessage.HandOver(2, 1));
+            sender.send(new LogMessage.TransferLeadership(2, 1));
             try {
                 return server.accept();
             } catch (SocketTimeoutException notYet) {
--- a/src/test/java/org/wigeongrade/nodes/log/RaftReplicatedLogFailureTest.java
+++ b/src/test/java/org/wigeongrade/nodes/log/RaftReplicatedLogFailureTest.java
@@ -83,7 +83,7 @@
         network.cutOff(leader);
         CompletableFuture<byte[]> pending = submit(leader, "open");
         NodeName next = awaitLeaderOtherThan(Optional.of(leader));
-        assertThat(logs.get(leader).leadsWithLease()).isFalse();
+        assertThat(logs.get(leader).isLeaderWithLease()).isFalse();
         submit(next, "after").get(5, TimeUnit.SECONDS);
         assertThat(kindOf(pending)).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
         network.heal();
@@ -97,9 +97,9 @@
     void aLeadershipTransferNeedsNoElectionTimeout() {
         NodeName leader = awaitLeaderOtherThan(Optional.empty());
         long termBefore = logs.get(leader).term();
-        logs.get(leader).handOver();
+        logs.get(leader).transferLeadership();
         awaitLeaderOtherThan(Optional.of(leader));
-        assertThat(logs.get(leader).leadsWithLease()).isFalse();
+        assertThat(logs.get(leader).isLeaderWithLease()).isFalse();
         assertThat(logs.values().stream()
                         .mapToLong(RaftReplicatedLog::term)
                         .max()
@@ -135,7 +135,7 @@
     private Optional<NodeName> leaderOtherThan(Optional<NodeName> excluded) {
         return logs.entrySet().stream()
                 .filter(entry -> !Optional.of(entry.getKey()).equals(excluded))
-                .filter(entry -> entry.getValue().leadsWithLease())
+                .filter(entry -> entry.getValue().isLeaderWithLease())
                 .map(Map.Entry::getKey)
                 .findFirst();
     }
--- a/src/test/java/org/wigeongrade/nodes/log/RaftReplicatedLogTest.java
+++ b/src/test/java/org/wigeongrade/nodes/log/RaftReplicatedLogTest.java
@@ -121,7 +121,7 @@
 
     private Optional<NodeName> leader() {
         return logs.entrySet().stream()
-                .filter(entry -> entry.getValue().leadsWithLease())
+                .filter(entry -> entry.getValue().isLeaderWithLease())
                 .map(Map.Entry::getKey)
                 .findFirst();
     }
--- a/src/test/java/org/wigeongrade/nodes/log/WireCodecTest.java
+++ b/src/test/java/org/wigeongrade/nodes/log/WireCodecTest.java
@@ -47,7 +47,7 @@
                 new LogMessage.AppendReply(1, 2, true, 3, 4, 5),
                 new LogMessage.SnapshotChunk(1, POSITION, membership, 8, 9, DATA, 10),
                 new LogMessage.SnapshotReply(1, 2, 3, 4, true, 5),
-                new LogMessage.HandOver(1, 2),
+                new LogMessage.TransferLeadership(1, 2),
                 new LogMessage.EmptyProbe(1, ImmutableSortedSet.of(NodeName.of("a"), NodeName.of("b"))),
                 new LogMessage.EmptyProbeReply(1, 2, true));
     }
--- a/src/test/java/org/wigeongrade/platform/ConfigurationReaderTest.java
+++ b/src/test/java/org/wigeongrade/platform/ConfigurationReaderTest.java
@@ -44,11 +44,10 @@
 
         assertThat(read.version()).isEqualTo(7);
         assertThat(chat.kind()).isEqualTo(RouteKind.STREAMING);
-        assertThat(chat.mayRepeat()).isTrue();
+        assertThat(chat.mayRetry()).isTrue();
         assertThat(chat.targets()).hasSize(2);
         assertThat(chat.targetPauseMs()).isEqualTo(300);
-        assertThat(read.route("desk.example", "/pay/").orElseThrow().mayRepeat())
-                .isFalse();
+        assertThat(read.route("desk.example", "/pay/").orElseThrow().mayRetry()).isFalse();
         assertThat(read.organisationOf("key-2")).hasValue(OrganisationName.of("shop"));
         final GroupedModel model = read.service(ServiceName.of("pool"))
                 .orElseThrow()
@@ -74,7 +73,7 @@
                 "\"apiKeys\":[\"key-1\" | \"apiKeys\":[1",
                 "\"weight\":10 | \"weight\":null",
             })
-    void refusesWhatCannotBeReadInFull(String part, String replacement) {
+    void rejectsMalformedFields(String part, String replacement) {
         final String malformed = DOCUMENT.replace(part, replacement);
 
         assertThat(malformed).isNotEqualTo(DOCUMENT);
--- a/src/test/java/org/wigeongrade/platform/FleetOnLoopbackTest.java
+++ b/src/test/java/org/wigeongrade/platform/FleetOnLoopbackTest.java
@@ -57,16 +57,20 @@
 
     @BeforeEach
     void start() throws IOException {
-        firstPort = LoopbackPorts.freeRow(6);
+        firstPort = LoopbackPorts.allocateRange(6);
         endpoint = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         endpoint.createContext("/", this::serve);
         endpoint.start();
         final EventLog events = new EventLog();
         control = new ControlNode(
-                settings(FleetRole.CONTROL), new ConfigurationReader(), new OrderWriter(), events, new Metrics());
+                settings(FleetRole.CONTROL),
+                new ConfigurationReader(),
+                new PlatformOrderCodec(),
+                events,
+                new Metrics());
         control.start(ControlApi::new);
         entry = new EntryNode(
-                settings(FleetRole.ENTRY), new ConfigurationReader(), new CallerMessages(), events, new Metrics());
+                settings(FleetRole.ENTRY), new ConfigurationReader(), new PlatformCallerCodec(), events, new Metrics());
         entry.start();
         await("configuration accepted", () -> publish(7, 60_000) == 200);
         await("entry node ready", () -> {
@@ -101,7 +105,7 @@
         "/app/refuse, key-1, 503",
         "/app/fail, key-1, 500",
     })
-    void refusalsAndFailuresKeepTheirMeaning(String path, String key, int status) {
+    void errorsGetTheExpectedStatus(String path, String key, int status) {
         assertThat(call("GET", path, key).statusCode()).isEqualTo(status);
     }
 
--- a/src/test/java/org/wigeongrade/platform/HeartbeatReaderTest.java
+++ b/src/test/java/org/wigeongrade/platform/HeartbeatReaderTest.java
@@ -59,7 +59,7 @@
                 "\"slots\":18 | \"slots\":-1",
                 "\"rank\":1,\"state\":\"ready\" | \"rank\":1,\"state\":\"odd\"",
             })
-    void refusesFieldsThatAreMissingOrOfAnotherType(String part, String replacement) {
+    void rejectsMissingAndInvalidFields(String part, String replacement) {
         final String malformed = HEARTBEAT.replace(part, replacement);
 
         assertThat(malformed).isNotEqualTo(HEARTBEAT);
--- a/src/test/java/org/wigeongrade/platform/CallerMessagesTest.java
+++ b/src/test/java/org/wigeongrade/platform/PlatformCallerCodecTest.java
@@ -17,17 +17,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wigeongrade.errors.ErrorKind;
-import org.wigeongrade.fleet.entry.AnswerHead;
 import org.wigeongrade.fleet.entry.CallerRequest;
-import org.wigeongrade.fleet.entry.SendTerms;
+import org.wigeongrade.fleet.entry.ForwardingMetadata;
+import org.wigeongrade.fleet.entry.ResponseHead;
 import org.wigeongrade.fleet.net.HttpReply;
 import org.wigeongrade.ids.OrganisationName;
 import org.wigeongrade.ids.VmName;
 
-final class CallerMessagesTest {
-    private static final SendTerms TERMS =
-            new SendTerms(750, VmName.of("i-1"), Optional.of(OrganisationName.of("shop")), OptionalLong.empty());
-    private final CallerMessages messages = new CallerMessages();
+final class PlatformCallerCodecTest {
+    private static final ForwardingMetadata TERMS = new ForwardingMetadata(
+            750, VmName.of("i-1"), Optional.of(OrganisationName.of("shop")), OptionalLong.empty());
+    private final PlatformCallerCodec messages = new PlatformCallerCodec();
 
     @Test
     void forwardsRequestWithOnlySystemHeadersChanged() {
@@ -54,14 +54,15 @@
 
         assertThat(request.hostname()).isEqualTo("desk.example");
         assertThat(request.path()).isEqualTo("/chat/1");
-        assertThat(request.callerWaitsMs()).isEqualTo(OptionalLong.of(8_000));
-        assertThat(request.key()).hasValue("key-1");
+        assertThat(request.timeoutMs()).isEqualTo(OptionalLong.of(8_000));
+        assertThat(request.apiKey()).hasValue("key-1");
         assertThat(request.promptTokens()).isEqualTo(1_460);
     }
 
     @Test
     void resumedRequestCarriesLastForwardedEventId() {
-        final SendTerms resumed = new SendTerms(750, VmName.of("i-1"), Optional.empty(), OptionalLong.of(7));
+        final ForwardingMetadata resumed =
+                new ForwardingMetadata(750, VmName.of("i-1"), Optional.empty(), OptionalLong.of(7));
         final FullHttpRequest forwarded = messages.encode(messages.decode(message()), resumed, "10.0.0.1:80");
 
         assertThat(forwarded.headers().getAll("Last-Event-Id")).containsExactly("7");
@@ -79,15 +80,15 @@
         "200, Keep-Alive, timeout=5, false, false, false, 4500",
         "200, Connection, close, false, false, false, -1",
     })
-    void decodesHeadsOfAnswers(
+    void decodesResponseHeads(
             int status, String header, String value, boolean notRun, boolean signed, boolean encoded, long reusableMs) {
         final HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
         response.headers().set(header, value);
-        final AnswerHead head = messages.decode(response);
+        final ResponseHead head = messages.decode(response);
 
         assertThat(head.notRun()).isEqualTo(notRun);
         assertThat(head.signed()).isEqualTo(signed);
-        assertThat(head.encoded()).isEqualTo(encoded);
+        assertThat(head.contentEncoded()).isEqualTo(encoded);
         assertThat(head.reusableForMs().orElse(-1)).isEqualTo(reusableMs);
     }
 
--- a/src/test/java/org/wigeongrade/platform/OrderWriterTest.java
+++ b/src/test/java/org/wigeongrade/platform/PlatformOrderCodecTest.java
@@ -12,14 +12,14 @@
 import org.wigeongrade.decisions.grouping.GroupOrderKind;
 import org.wigeongrade.decisions.grouping.OrderAnswer;
 import org.wigeongrade.decisions.log.Bytes;
-import org.wigeongrade.fleet.net.OneCall;
+import org.wigeongrade.fleet.net.OneShotHttpClient;
 import org.wigeongrade.ids.GroupName;
 import org.wigeongrade.ids.ModelVersionName;
 import org.wigeongrade.ids.VmIncarnation;
 import org.wigeongrade.ids.VmName;
 
-final class OrderWriterTest {
-    private final OrderWriter codec = new OrderWriter();
+final class PlatformOrderCodecTest {
+    private final PlatformOrderCodec codec = new PlatformOrderCodec();
 
     @ParameterizedTest
     @CsvSource(
@@ -32,7 +32,7 @@
                 "LEAVE | {\"operation\":\"leave\",\"fencingToken\":3,\"group\":\"g1\",\"epoch\":9}",
                 "PROBE | ''",
             })
-    void writesEachOrder(GroupOrderKind kind, String body) {
+    void encodesEachOrder(GroupOrderKind kind, String body) {
         final FullHttpRequest request = codec.encode(order(kind));
 
         assertThat(request.content().toString(StandardCharsets.UTF_8)).isEqualTo(body);
@@ -42,9 +42,10 @@
 
     @ParameterizedTest
     @CsvSource({"200, DONE", "202, BEGUN", "409, REFUSED", "412, REFUSED", "400, REFUSED", "421, ENDED"})
-    void readsEachAnswer(int status, OrderAnswer expected) {
+    void decodesEachAnswer(int status, OrderAnswer expected) {
         assertThat(codec.decode(
-                        order(GroupOrderKind.JOIN), new OneCall.Answer(status, new DefaultHttpHeaders(), Bytes.EMPTY)))
+                        order(GroupOrderKind.JOIN),
+                        new OneShotHttpClient.Response(status, new DefaultHttpHeaders(), Bytes.EMPTY)))
                 .isEqualTo(expected);
     }
 
--- a/src/test/java/org/wigeongrade/platform/soak/FakeEndpointFleet.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FakeEndpointFleet.java
@@ -40,7 +40,7 @@
     }
 
     private void add(String name, String service, Optional<String> domain) {
-        vms.add(new FakeEndpointVm(name, service, LoopbackPorts.free(), this, domain));
+        vms.add(new FakeEndpointVm(name, service, LoopbackPorts.allocate(), this, domain));
     }
 
     List<FakeEndpointVm> vms() {
--- a/src/test/java/org/wigeongrade/platform/soak/FaultInjector.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FaultInjector.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 import org.wigeongrade.proof.Await;
-import org.wigeongrade.proof.CuttingProxy;
+import org.wigeongrade.proof.FaultInjectionProxy;
 
 /**
  * Injects random, overlapping faults that depend on a seed. Each fault ends by itself.
@@ -60,15 +60,15 @@
             case 3 ->
                 start(
                         "drop all traffic to control " + control,
-                        () -> disturbNetwork(control, CuttingProxy.Mode.SILENT, forMs));
+                        () -> disturbNetwork(control, FaultInjectionProxy.Mode.BLACKHOLE, forMs));
             case 4 ->
                 start(
                         "drop incoming traffic to control " + control,
-                        () -> disturbNetwork(control, CuttingProxy.Mode.DEAF, forMs));
+                        () -> disturbNetwork(control, FaultInjectionProxy.Mode.DROP_TO_TARGET, forMs));
             case 5 ->
                 start(
                         "delay traffic to control " + control,
-                        () -> disturbNetwork(control, CuttingProxy.Mode.DELAYED, forMs));
+                        () -> disturbNetwork(control, FaultInjectionProxy.Mode.DELAY, forMs));
             case 6 -> start("reset connections to control " + control, () -> nodes.resetConnections(control));
             case 7 -> loseDisk(control, forMs);
             case 8 -> start("crash " + vm.name(), () -> crash(vm, forMs));
@@ -86,10 +86,10 @@
         }
     }
 
-    private void disturbNetwork(int control, CuttingProxy.Mode mode, long forMs) {
+    private void disturbNetwork(int control, FaultInjectionProxy.Mode mode, long forMs) {
         nodes.setProxyMode(control, mode);
         Await.sleepMs(forMs);
-        nodes.setProxyMode(control, CuttingProxy.Mode.PASS);
+        nodes.setProxyMode(control, FaultInjectionProxy.Mode.FORWARD);
     }
 
     private static void crash(FakeEndpointVm vm, long forMs) {
--- a/src/test/java/org/wigeongrade/platform/soak/SoakAddresses.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakAddresses.java
@@ -15,7 +15,7 @@
     private static final int PORTS = 6;
 
     static SoakAddresses free(int controls, int entries) {
-        return new SoakAddresses(LoopbackPorts.freeRow(PORTS), controls, entries);
+        return new SoakAddresses(LoopbackPorts.allocateRange(PORTS), controls, entries);
     }
 
     List<Integer> proxiedPorts() {
--- a/src/test/java/org/wigeongrade/platform/soak/SoakNodes.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakNodes.java
@@ -11,7 +11,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import org.wigeongrade.proof.Await;
-import org.wigeongrade.proof.CuttingProxy;
+import org.wigeongrade.proof.FaultInjectionProxy;
 import org.wigeongrade.proof.ManagedProcess;
 
 /**
@@ -31,7 +31,7 @@
     private final SoakAddresses addresses;
     private final List<ManagedProcess> processes = new ArrayList<>();
     private final List<Object> locks = new ArrayList<>();
-    private final List<List<CuttingProxy>> proxies = new ArrayList<>();
+    private final List<List<FaultInjectionProxy>> proxies = new ArrayList<>();
 
     SoakNodes(Path folder, SoakAddresses addresses) throws IOException {
         this.folder = folder;
@@ -42,7 +42,7 @@
         for (int node = 0; node < count(); node++) {
             locks.add(new Object());
             writeSettings(node, true);
-            processes.add(ManagedProcess.java(
+            processes.add(ManagedProcess.startJava(
                     name(node),
                     folder,
                     MAIN,
@@ -50,10 +50,10 @@
         }
     }
 
-    private List<CuttingProxy> proxiesOf(int control) throws IOException {
-        final List<CuttingProxy> controlProxies = new ArrayList<>();
+    private List<FaultInjectionProxy> proxiesOf(int control) throws IOException {
+        final List<FaultInjectionProxy> controlProxies = new ArrayList<>();
         for (final int port : addresses.proxiedPorts()) {
-            controlProxies.add(new CuttingProxy(
+            controlProxies.add(new FaultInjectionProxy(
                     SoakAddresses.address(addresses.proxyControlIp(control), port),
                     SoakAddresses.address(addresses.boundControlIp(control), port)));
         }
@@ -73,14 +73,14 @@
         return isControl(node) ? "control-" + node : "entry-" + (node - addresses.controls());
     }
 
-    void setProxyMode(int control, CuttingProxy.Mode mode) {
-        proxies.get(control).forEach(proxy -> proxy.set(mode));
+    void setProxyMode(int control, FaultInjectionProxy.Mode mode) {
+        proxies.get(control).forEach(proxy -> proxy.setMode(mode));
     }
 
     /** Resets the open connections to a control VM; new ones are forwarded normally. */
     void resetConnections(int control) {
-        setProxyMode(control, CuttingProxy.Mode.RESET);
-        setProxyMode(control, CuttingProxy.Mode.PASS);
+        setProxyMode(control, FaultInjectionProxy.Mode.RESET);
+        setProxyMode(control, FaultInjectionProxy.Mode.FORWARD);
     }
 
     /** Kills a node and restarts it after {@code downMs}, with an empty disk if {@code loseDisk}. */
@@ -210,7 +210,8 @@
     @Override
     public void close() {
         processes.forEach(ManagedProcess::close);
-        for (final CuttingProxy proxy : proxies.stream().flatMap(List::stream).toList()) {
+        for (final FaultInjectionProxy proxy :
+                proxies.stream().flatMap(List::stream).toList()) {
             try {
                 proxy.close();
             } catch (IOException e) {
--- a/src/test/java/org/wigeongrade/proof/ConcurrentOperators.java
+++ b/src/test/java/org/wigeongrade/proof/ConcurrentOperators.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.wigeongrade.standin.AnswerText;
+import org.wigeongrade.standin.ResponseText;
 import org.wigeongrade.standin.StandinJson;
 
 /**
@@ -113,7 +113,7 @@
         Optional<JsonNode> read = fetchConfiguration(entry);
         if (healthy && read.isPresent() && Http.isHealthy(entry)) {
             long revision = read.get().path("revision").asLong();
-            call.ok(revision + ":" + AnswerText.digest(read.get().toString()));
+            call.ok(revision + ":" + ResponseText.digest(read.get().toString()));
         } else {
             call.fail("no valid view");
         }
--- a/src/test/java/org/wigeongrade/proof/ConfigurationProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/ConfigurationProcessTest.java
@@ -51,10 +51,10 @@
             fleet.process(name).restart();
             Await.until(name + " is healthy", 10_000, () -> Http.isHealthy(fleet.entryAddress(name)));
         }
-        fleet.setProxyMode("entry-1", CuttingProxy.Mode.SILENT);
+        fleet.setProxyMode("entry-1", FaultInjectionProxy.Mode.BLACKHOLE);
         recorder.recordAction("cut", "entry-1");
         Await.sleepMs(3_000);
-        fleet.setProxyMode("entry-1", CuttingProxy.Mode.PASS);
+        fleet.setProxyMode("entry-1", FaultInjectionProxy.Mode.FORWARD);
         fleet.process("entry-2").freeze();
         recorder.recordAction("freeze", "entry-2");
         Await.sleepMs(3_000);
--- a/src/test/java/org/wigeongrade/proof/CuttingProxy.java
+++ b/src/test/java/org/wigeongrade/proof/FaultInjectionProxy.java
@@ -14,17 +14,17 @@
  * <p>Invariant: a connection that was black-holed stays so for good, as when a middlebox has lost its state. Safe for
  * use from any thread.
  */
-public final class CuttingProxy implements AutoCloseable {
+public final class FaultInjectionProxy implements AutoCloseable {
     /** How connections are treated. */
     public enum Mode {
         /** All bytes are forwarded. */
-        PASS,
+        FORWARD,
         /** Bytes arrive late. */
-        DELAYED,
+        DELAY,
         /** Bytes to the target are dropped; those from it are forwarded. */
-        DEAF,
+        DROP_TO_TARGET,
         /** Bytes are dropped in both directions without a reset, on open and new connections. */
-        SILENT,
+        BLACKHOLE,
         /** Connections are reset. */
         RESET
     }
@@ -36,17 +36,17 @@
     private final ServerSocket server;
     private final InetSocketAddress target;
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
-    private volatile Mode mode = Mode.PASS;
+    private volatile Mode mode = Mode.FORWARD;
 
     /** Listens at a free loopback port and forwards to {@code targetPort}. */
-    CuttingProxy(int targetPort) throws IOException {
+    FaultInjectionProxy(int targetPort) throws IOException {
         this(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), LoopbackPorts.free()),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), LoopbackPorts.allocate()),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort));
     }
 
     /** Listens at one address and forwards to another. */
-    public CuttingProxy(InetSocketAddress listen, InetSocketAddress target) throws IOException {
+    public FaultInjectionProxy(InetSocketAddress listen, InetSocketAddress target) throws IOException {
         this.target = target;
         this.server = new ServerSocket(listen.getPort(), 50, listen.getAddress());
         startThread("proxy-accept", this::acceptConnections);
@@ -58,9 +58,9 @@
     }
 
     /** Sets how open and new connections are treated. */
-    public void set(Mode newMode) {
+    public void setMode(Mode newMode) {
         mode = newMode;
-        if (newMode == Mode.SILENT) {
+        if (newMode == Mode.BLACKHOLE) {
             blackholeOpenConnections();
         } else if (newMode == Mode.RESET) {
             connections.forEach(Connection::reset);
@@ -85,7 +85,7 @@
     private void forward(Socket clientSocket) throws IOException {
         Socket targetSocket = new Socket();
         Connection connection = new Connection(clientSocket, targetSocket);
-        connection.blackholed = mode == Mode.SILENT;
+        connection.blackholed = mode == Mode.BLACKHOLE;
         connections.add(connection);
         if (mode == Mode.RESET) {
             connection.reset();
@@ -130,11 +130,11 @@
             try {
                 int count = from.getInputStream().read(buffer);
                 while (count >= 0) {
-                    if (mode == Mode.DELAYED) {
+                    if (mode == Mode.DELAY) {
                         Await.sleepMs(DELAY_MS);
                     }
                     // A connection that dropped bytes must not forward later ones.
-                    dropsToTarget = dropsToTarget || (towardsTarget && mode == Mode.DEAF);
+                    dropsToTarget = dropsToTarget || (towardsTarget && mode == Mode.DROP_TO_TARGET);
                     if (!blackholed && !(towardsTarget && dropsToTarget)) {
                         to.getOutputStream().write(buffer, 0, count);
                     }
--- a/src/test/java/org/wigeongrade/proof/FaultInjectionProxyTest.java
+++ b/src/test/java/org/wigeongrade/proof/FaultInjectionProxyTest.java
@@ -15,15 +15,15 @@
 
 final class FaultInjectionProxyTest {
     private ServerSocket echoServer;
-    private CuttingProxy proxy;
+    private FaultInjectionProxy proxy;
 
     @BeforeEach
     void start() throws IOException {
-        echoServer = new ServerSocket(LoopbackPorts.free(), 10, InetAddress.getLoopbackAddress());
+        echoServer = new ServerSocket(LoopbackPorts.allocate(), 10, InetAddress.getLoopbackAddress());
         Thread thread = new Thread(this::runEchoServer);
         thread.setDaemon(true);
         thread.start();
-        proxy = new CuttingProxy(echoServer.getLocalPort());
+        proxy = new FaultInjectionProxy(echoServer.getLocalPort());
     }
 
     @AfterEach
@@ -56,7 +56,7 @@
     void resetsConnections() throws IOException {
         try (Socket socket = connect()) {
             assertThat(sendAndReadEcho(socket, 7)).isEqualTo(7);
-            proxy.set(CuttingProxy.Mode.RESET);
+            proxy.setMode(FaultInjectionProxy.Mode.RESET);
 
             assertThrows(SocketException.class, () -> {
                 for (int i = 0; i < 100; i++) {
--- a/src/test/java/org/wigeongrade/proof/LoopbackPorts.java
+++ b/src/test/java/org/wigeongrade/proof/LoopbackPorts.java
@@ -20,12 +20,12 @@
     private LoopbackPorts() {}
 
     /** Allocates a free port. */
-    public static int free() {
-        return freeRow(1);
+    public static int allocate() {
+        return allocateRange(1);
     }
 
     /** Allocates {@code count} consecutive free ports and returns the first. */
-    public static synchronized int freeRow(int count) {
+    public static synchronized int allocateRange(int count) {
         while (true) {
             int first = ThreadLocalRandom.current().nextInt(LOWEST, HIGHEST - count);
             if (isRangeFree(first, count)) {
--- a/src/test/java/org/wigeongrade/proof/ManagedProcess.java
+++ b/src/test/java/org/wigeongrade/proof/ManagedProcess.java
@@ -38,7 +38,7 @@
     }
 
     /** Starts {@code mainClass} of this project with {@code arguments}; output goes to {@code folder/name.log}. */
-    public static ManagedProcess java(String name, Path folder, String mainClass, List<String> arguments) {
+    public static ManagedProcess startJava(String name, Path folder, String mainClass, List<String> arguments) {
         List<String> command = new ArrayList<>(JAVA);
         command.add(mainClass);
         command.addAll(arguments);
--- a/src/test/java/org/wigeongrade/proof/ProcessFleet.java
+++ b/src/test/java/org/wigeongrade/proof/ProcessFleet.java
@@ -33,7 +33,7 @@
     private final boolean proxied;
     private final Map<String, NodePorts> nodes = new LinkedHashMap<>();
     private final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
-    private final Map<String, CuttingProxy> proxies = new HashMap<>();
+    private final Map<String, FaultInjectionProxy> proxies = new HashMap<>();
     private final Map<String, String> standinAddresses = new HashMap<>();
     private final Map<String, Path> journals = new LinkedHashMap<>();
 
@@ -53,7 +53,7 @@
     static ProcessFleet start(Path folder, int controlNodes, int otherNodes, boolean proxied) {
         ProcessFleet fleet = new ProcessFleet(folder, proxied);
         for (int i = 1; i <= controlNodes + otherNodes; i++) {
-            int first = LoopbackPorts.freeRow(3);
+            int first = LoopbackPorts.allocateRange(3);
             fleet.nodes.put("entry-" + i, new NodePorts(i <= controlNodes, first, first + 1, first + 2));
         }
         try {
@@ -71,7 +71,8 @@
             write(settings, settings(name));
             processes.put(
                     name,
-                    ManagedProcess.java(name, folder, NODE_MAIN, List.of("node", "--settings", settings.toString())));
+                    ManagedProcess.startJava(
+                            name, folder, NODE_MAIN, List.of("node", "--settings", settings.toString())));
         }
         Await.until(
                 "all nodes healthy\n" + recentOutputs(),
@@ -114,9 +115,9 @@
                 .address();
     }
 
-    private static CuttingProxy newProxy(int port) {
+    private static FaultInjectionProxy newProxy(int port) {
         try {
-            return new CuttingProxy(port);
+            return new FaultInjectionProxy(port);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -127,17 +128,17 @@
     }
 
     /** Sets how the proxies treat connections between {@code name} and the other nodes, in both directions. */
-    void setProxyMode(String name, CuttingProxy.Mode mode) {
+    void setProxyMode(String name, FaultInjectionProxy.Mode mode) {
         proxies.forEach((linkName, proxy) -> {
             if (linkName.startsWith(name + ">") || linkName.contains(">" + name + ":")) {
-                proxy.set(mode);
+                proxy.setMode(mode);
             }
         });
     }
 
     /** Black-holes every open connection between nodes for good; new ones are not affected. */
     void blackholeOpenConnections() {
-        proxies.values().forEach(CuttingProxy::blackholeOpenConnections);
+        proxies.values().forEach(FaultInjectionProxy::blackholeOpenConnections);
     }
 
     /** Starts engine VMs in one process, which is returned; {@code vms} are their names, separated by commas. */
@@ -152,7 +153,7 @@
 
     private ManagedProcess startStandin(String kind, String vms, String... arguments) {
         int count = vms.split(",").length;
-        int port = LoopbackPorts.freeRow(count);
+        int port = LoopbackPorts.allocateRange(count);
         Path journal = folder.resolve(vms.replace(',', '_') + ".journal");
         List<String> allArguments = new ArrayList<>(List.of(
                 kind,
@@ -165,7 +166,7 @@
                 "--journal",
                 journal.toString()));
         allArguments.addAll(Arrays.asList(arguments));
-        ManagedProcess process = ManagedProcess.java(vms, folder, STANDIN_MAIN, allArguments);
+        ManagedProcess process = ManagedProcess.startJava(vms, folder, STANDIN_MAIN, allArguments);
         processes.put(vms, process);
         journals.put(vms, journal);
         standinAddresses.put(vms, "127.0.0.1:" + port);
@@ -279,7 +280,7 @@
         proxies.values().forEach(ProcessFleet::closeProxy);
     }
 
-    private static void closeProxy(CuttingProxy proxy) {
+    private static void closeProxy(FaultInjectionProxy proxy) {
         try {
             proxy.close();
         } catch (IOException e) {
--- a/src/test/java/org/wigeongrade/proof/ZoneOutProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/ZoneOutProcessTest.java
@@ -30,14 +30,14 @@
         void begin(ProcessFleet fleet, String entry) {
             switch (this) {
                 case FROZEN -> fleet.process(entry).freeze();
-                case BLACKHOLED -> fleet.setProxyMode(entry, CuttingProxy.Mode.SILENT);
+                case BLACKHOLED -> fleet.setProxyMode(entry, FaultInjectionProxy.Mode.BLACKHOLE);
             }
         }
 
         void end(ProcessFleet fleet, String entry) {
             switch (this) {
                 case FROZEN -> fleet.process(entry).thaw();
-                case BLACKHOLED -> fleet.setProxyMode(entry, CuttingProxy.Mode.PASS);
+                case BLACKHOLED -> fleet.setProxyMode(entry, FaultInjectionProxy.Mode.FORWARD);
             }
         }
     }
