--- a/src/main/java/org/wigeongrade/command/FleetTrialCommand.java
+++ b/src/main/java/org/wigeongrade/command/FleetTrialCommand.java
@@ -33,7 +33,7 @@
 import org.wigeongrade.settings.NodeAddress;
 
 /**
- * Starts one control and one entry node in this process, on loopback ports, and exits after some seconds. The build
+ * Starts one control and one entry node in this process, on loopback ports, and exits after a few seconds. The build
  * runs it to record which classes a node loads. Not safe for use from several threads.
  */
 final class FleetTrialCommand extends Subcommand {
--- a/src/main/java/org/wigeongrade/command/Node.java
+++ b/src/main/java/org/wigeongrade/command/Node.java
@@ -141,10 +141,10 @@
 
     private void startRoles() throws Exception {
         controlRole = settings.logListen().map(this::openControlRole);
-        final LeaderClient link = new LeaderClient(settings.name(), controlRole, controlPeers(), nanoClock);
+        final LeaderClient leaderClient = new LeaderClient(settings.name(), controlRole, controlPeers(), nanoClock);
         viewPuller = new ViewPuller(
                 entryRole,
-                link,
+                leaderClient,
                 events,
                 metrics,
                 epochMsClock.getAsLong(),
@@ -155,8 +155,8 @@
                 THRIFT_WORKER_THREADS);
         nodeServer.start();
         httpServer = RatpackServer.of(server -> server.serverConfig(serverConfig())
-                .registryOf(this::addFailureHandlers)
-                .handlers(chain -> addHandlers(chain, link)));
+                .registryOf(this::addErrorHandlers)
+                .handlers(chain -> addHandlers(chain, leaderClient)));
         httpServer.start();
         viewPuller.start();
         placementLoop.ifPresent(PlacementLoop::start);
@@ -172,10 +172,10 @@
         return new NodeAddress(ip, settings.listen().port()).toString();
     }
 
-    private void addFailureHandlers(RegistrySpec registry) {
-        final HttpErrorHandler failures = new HttpErrorHandler(metrics, events);
-        registry.add(ClientErrorHandler.class, failures);
-        registry.add(ServerErrorHandler.class, failures);
+    private void addErrorHandlers(RegistrySpec registry) {
+        final HttpErrorHandler errorHandler = new HttpErrorHandler(metrics, events);
+        registry.add(ClientErrorHandler.class, errorHandler);
+        registry.add(ServerErrorHandler.class, errorHandler);
     }
 
     private ServerConfig serverConfig() {
@@ -222,19 +222,19 @@
                 .collect(ImmutableMap.toImmutableMap(name -> name, peers::get));
     }
 
-    private void addHandlers(Chain chain, LeaderClient link) throws Exception {
+    private void addHandlers(Chain chain, LeaderClient leaderClient) throws Exception {
         final ExecController execController = chain.getRegistry().get(ExecController.class);
         final EndpointClient client = new EndpointClient(execController, MAX_RESPONSE_BYTES, nanoClock);
-        final TaskScheduler delay = (task, delayMs) -> {
+        final TaskScheduler taskScheduler = (task, delayMs) -> {
             final var unused = scheduler.schedule(task, delayMs, TimeUnit.MILLISECONDS);
         };
-        final CallerDependencies services = new CallerDependencies(
+        final CallerDependencies dependencies = new CallerDependencies(
                 entryRole,
-                link,
+                leaderClient,
                 client,
                 new ColdSignBroadcaster(entryRole, peers, workers, viewPuller::requestPull, events),
                 viewPuller::requestPull,
-                delay,
+                taskScheduler,
                 workers,
                 epochMsClock,
                 metrics,
@@ -245,12 +245,12 @@
         chain.insert(new EndpointApi(entryRole));
         chain.insert(new OperatorApi(
                 entryRole,
-                link,
-                new FleetExplanations(entryRole, controlRole, link, peers),
+                leaderClient,
+                new FleetExplanations(entryRole, controlRole, leaderClient, peers),
                 events,
                 epochMsClock,
                 this::stop));
-        chain.insert(new CallerApi(services, inFlight));
+        chain.insert(new CallerApi(dependencies, inFlight));
     }
 
     private PlacementLoop createPlacementLoop(ControlRole role, EndpointClient client) {
--- a/src/main/java/org/wigeongrade/command/ZoneCommand.java
+++ b/src/main/java/org/wigeongrade/command/ZoneCommand.java
@@ -5,7 +5,7 @@
 
 /** Takes an availability zone out of service or brings it back. Not safe for use from several threads. */
 final class ZoneCommand extends ChangeSubcommand {
-    /** The two changes of a zone. */
+    /** Whether the zone is brought back into service or taken out of it. */
     enum ZoneAction {
         IN,
         OUT;
--- a/src/main/java/org/wigeongrade/decisions/limits/HeldShares.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/HeldShares.java
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Relinquishes the slots that are not in use because this process is stopping; the next report tells the leader.
+     * Relinquishes the unused slots, as this process does when it stops; the next report tells the leader.
      */
     public void relinquish(ShareKey key) {
         HeldShare share = share(key);
--- a/src/main/java/org/wigeongrade/decisions/limits/ResourceAllocator.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/ResourceAllocator.java
@@ -199,9 +199,9 @@
         if (coldHolder.isPresent()) {
             return;
         }
-        boolean previousLeasesRun = nowNanos - previousLeasesEndNanos <= 0;
+        boolean previousLeasesValid = nowNanos - previousLeasesEndNanos <= 0;
         if (share.coldSlots() > 0
-                || (!previousLeasesRun && preferredColdHolder().equals(share.holder))) {
+                || (!previousLeasesValid && preferredColdHolder().equals(share.holder))) {
             coldHolder = Optional.of(share.holder);
         }
     }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/AttemptEvent.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/AttemptEvent.java
@@ -5,7 +5,7 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.RunStatus;
 
-/** How an attempt ended; each value determines exactly one claim on whether the request ran. */
+/** How an attempt ended; each value determines exactly one run status of the request. */
 public enum AttemptEvent {
     /** The final check before sending refused the request. */
     NOT_SENT(RunStatus.NOT_RUN, ErrorKind.NO_VIEW_LEASE),
@@ -30,17 +30,17 @@
     /** The caller disconnected after bytes of the request were sent, and the attempt was cancelled. */
     CANCELLED(RunStatus.UNKNOWN, ErrorKind.OUTCOME_UNKNOWN);
 
-    private final RunStatus claim;
+    private final RunStatus runStatus;
     private final ErrorKind errorKind;
 
-    AttemptEvent(RunStatus claim, ErrorKind errorKind) {
-        this.claim = claim;
+    AttemptEvent(RunStatus runStatus, ErrorKind errorKind) {
+        this.runStatus = runStatus;
         this.errorKind = errorKind;
     }
 
     /** Returns what is known about whether the request ran. */
-    public RunStatus claim() {
-        return claim;
+    public RunStatus runStatus() {
+        return runStatus;
     }
 
     /** Returns the kind of error to report to the caller; empty for a complete response. */
--- a/src/main/java/org/wigeongrade/decisions/outcomes/AttemptOutcome.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/AttemptOutcome.java
@@ -5,7 +5,7 @@
 /**
  * The outcome of one attempt.
  *
- * <p>Invariant: the claim is {@link RunStatus#NOT_RUN} only if no byte of the request was handed to a connection, or if
+ * <p>Invariant: the run status is {@link RunStatus#NOT_RUN} only if no byte of the request was handed to a connection, or if
  * the endpoint itself stated, in a complete response to this attempt, that it did not run the request. Immutable; safe
  * for use from any thread.
  */
@@ -19,7 +19,7 @@
     }
 
     public RunStatus claim() {
-        return event.claim();
+        return event.runStatus();
     }
 
     private static AttemptEvent classify(AttemptFacts facts) {
--- a/src/main/java/org/wigeongrade/decisions/outcomes/StreamChunk.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/StreamChunk.java
@@ -14,9 +14,9 @@
     /** Returns the text that the event adds; empty if none. */
     static String content(ObjectNode chunk) {
         JsonNode choice = firstChoice(chunk);
-        JsonNode plain = choice.path("text");
-        return plain.isTextual()
-                ? plain.asText()
+        JsonNode text = choice.path("text");
+        return text.isTextual()
+                ? text.asText()
                 : choice.path("delta").path("content").asText("");
     }
 
--- a/src/main/java/org/wigeongrade/decisions/outcomes/SuspectTable.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/SuspectTable.java
@@ -16,9 +16,9 @@
  * An entry VM's view of the suspect requests (requests that may crash endpoints).
  *
  * <p>Invariants: a digest in flight at an endpoint when the endpoint is lost becomes a suspect here at once, before the
- * leader learns of it. This VM runs at most one request with a suspect digest at a time, and only while it holds the
- * leader's trial. An endpoint that runs a suspect gets no other request from this VM. Losses and completions are
- * reported until they are acknowledged. All times are on this VM's monotonic clock, in nanoseconds.
+ * leader learns of it. This VM runs at most one request with a suspect digest at a time, and starts it only while the
+ * leader grants it the trial of that digest. An endpoint that runs a suspect gets no other request from this VM. Losses
+ * and completions are reported until they are acknowledged. All times are on this VM's monotonic clock, in nanoseconds.
  *
  * <p>Thread safety: every method locks this object and acquires no other lock while holding it.
  */
@@ -42,7 +42,8 @@
     }
 
     /**
-     * Returns whether the request may be sent. A suspect that may not be sent asks for a trial in the next exchange.
+     * Returns whether the request may be sent. Checking a suspect also requests its trial in the next exchanges with
+     * the leader.
      */
     public synchronized SuspectDecision check(String requestDigest, long nowNanos) {
         if (quarantined.contains(requestDigest)) {
--- a/src/main/java/org/wigeongrade/decisions/placement/DomainChooser.java
+++ b/src/main/java/org/wigeongrade/decisions/placement/DomainChooser.java
@@ -14,7 +14,8 @@
  *
  * <p>Domains are preferred in this order: those with enough free VMs that already hold the model version, so that none
  * has to load it; those with the most free VMs that still announce the group; those in the availability zone with the
- * fewest groups of the pool; those that suit what the pool {@code weighs}; and last by zone and domain name.
+ * fewest groups of the pool; those that the pool's placement objective ({@code weighs}) prefers; and last by zone and
+ * domain name.
  *
  * <p>Not thread safe; each instance serves one pool in one plan.
  */
--- a/src/main/java/org/wigeongrade/errors/ErrorKind.java
+++ b/src/main/java/org/wigeongrade/errors/ErrorKind.java
@@ -16,7 +16,7 @@
     REVISION_CONFLICT(409, RunStatus.NOT_RUN, 0, "Read the current revision and apply the change to it."),
     REQUEST_IN_PROGRESS(409, RunStatus.UNKNOWN, 1_000, "The first request with this idempotency key is still running."),
     BODY_TOO_LARGE(413, RunStatus.NOT_RUN, 0, "Send a smaller body."),
-    INVALID_CONFIGURATION(422, RunStatus.NOT_RUN, 0, "Mend every listed fault and apply the whole set again."),
+    INVALID_CONFIGURATION(422, RunStatus.NOT_RUN, 0, "Correct every listed fault and apply the whole set again."),
     IDEMPOTENCY_KEY_REUSED(422, RunStatus.NOT_RUN, 0, "Use a new idempotency key for a different request."),
     REQUEST_QUARANTINED(422, RunStatus.NOT_RUN, 0, "This request crashed endpoints; change it or ask an operator."),
     ORGANISATION_LIMIT(429, RunStatus.NOT_RUN, 500, "The organisation has reached its limit; retry later."),
--- a/src/main/java/org/wigeongrade/logging/AsyncHandler.java
+++ b/src/main/java/org/wigeongrade/logging/AsyncHandler.java
@@ -15,7 +15,7 @@
  * logged before the next record that is written. Thread safe.
  */
 final class AsyncHandler extends Handler {
-    /** Records that may wait in the queue; a busy node writes that many in some seconds. */
+    /** Records that may wait in the queue; a busy node writes that many in a few seconds. */
     private static final int QUEUE_CAPACITY = 4_096;
     /** Longest wait for the queue to empty when the process ends, in milliseconds. */
     private static final long CLOSE_TIMEOUT_MS = 300;
--- a/src/main/java/org/wigeongrade/settings/NodeLimits.java
+++ b/src/main/java/org/wigeongrade/settings/NodeLimits.java
@@ -43,7 +43,7 @@
         return Ints.checkedCast(value(LimitKey.MAX_BODY_BYTES));
     }
 
-    /** Returns the longest time that an entry VM sends work on one view. */
+    /** Returns the longest time for which an entry VM sends work based on one view. */
     public long viewLeaseMs() {
         return value(LimitKey.VIEW_LEASE_MS);
     }
--- a/src/test/java/org/wigeongrade/command/ChangeCommandsTest.java
+++ b/src/test/java/org/wigeongrade/command/ChangeCommandsTest.java
@@ -41,7 +41,7 @@
         assertThat(exitCode).isEqualTo(ExitCode.REFUSED);
         assertThat(errors()).contains("  " + pools + ":1: pool chat: no such model version\n");
         assertThat(errors()).contains("  " + zones + ":1: zone a: declared twice\n");
-        assertThat(errors()).contains("fix: Mend every listed fault and apply the whole set again.");
+        assertThat(errors()).contains("fix: Correct every listed fault and apply the whole set again.");
     }
 
     @Test
--- a/src/test/java/org/wigeongrade/decisions/limits/ShareAllocatorTest.java
+++ b/src/test/java/org/wigeongrade/decisions/limits/ShareAllocatorTest.java
@@ -109,8 +109,8 @@
         assertThat(grant(cold, A, report(0, 0, 9), 0)).isEqualTo(2);
         assertThat(grant(cold, B, report(0, 0, 9), 1)).isEqualTo(0);
         assertThat(grant(cold, A, report(2, 2, 9), 900)).isEqualTo(2);
-        ShareReport evidence = new ShareReport(KEY, ++sequence, 2, 2, 0, 9, 0, 2, ShareReport.NO_COLD_SIGN);
-        cold.applyReport(A, 1, evidence, 901);
+        ShareReport warmReport = new ShareReport(KEY, ++sequence, 2, 2, 0, 9, 0, 2, ShareReport.NO_COLD_SIGN);
+        cold.applyReport(A, 1, warmReport, 901);
         assertThat(cold.availableSlots(KEY)).isEqualTo(4);
     }
 
--- a/src/test/java/org/wigeongrade/decisions/outcomes/AttemptOutcomeTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/AttemptOutcomeTest.java
@@ -62,8 +62,8 @@
     /** What a caller is told agrees with what is known of whether the request ran. */
     @ParameterizedTest
     @EnumSource(AttemptEvent.class)
-    void errorKindClaimsNoMoreThanTheEvent(AttemptEvent event) {
-        event.errorKind().ifPresent(kind -> assertThat(kind.runStatus()).isEqualTo(event.claim()));
-        assertThat(event.errorKind().isEmpty()).isEqualTo(event.claim() == RunStatus.COMPLETED);
+    void errorKindAgreesWithRunStatus(AttemptEvent event) {
+        event.errorKind().ifPresent(kind -> assertThat(kind.runStatus()).isEqualTo(event.runStatus()));
+        assertThat(event.errorKind().isEmpty()).isEqualTo(event.runStatus() == RunStatus.COMPLETED);
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/outcomes/PreSendCheckTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/PreSendCheckTest.java
@@ -30,7 +30,7 @@
 
     @ParameterizedTest
     @EnumSource(SendRefusal.class)
-    void refusalsClaimNotRun(SendRefusal refusal) {
+    void refusalsReportNotRun(SendRefusal refusal) {
         assertThat(refusal.errorKind().runStatus()).isEqualTo(RunStatus.NOT_RUN);
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/outcomes/StreamAssemblerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/StreamAssemblerTest.java
@@ -113,8 +113,8 @@
         return events;
     }
 
-    private static void appendContent(StreamAction step, StringBuilder received) {
-        if (step instanceof StreamAction.Forward forward) {
+    private static void appendContent(StreamAction action, StringBuilder received) {
+        if (action instanceof StreamAction.Forward forward) {
             int begin = forward.data().indexOf("\"content\":\"");
             if (begin >= 0) {
                 int from = begin + "\"content\":\"".length();
--- a/src/test/java/org/wigeongrade/decisions/placement/PlacementProperties.java
+++ b/src/test/java/org/wigeongrade/decisions/placement/PlacementProperties.java
@@ -120,7 +120,7 @@
     }
 
     /**
-     * Commits a command of the log a second time, as happens when the answer to a proposal is lost. The declared set
+     * Commits a command of the log a second time, as happens when the reply to a proposal is lost. The declared set
      * and the zone states must not change.
      */
     private static void proposeCommittedCommandAgain(VirtualFleet fleet, Random random) {
