--- a/src/main/java/org/wigeongrade/decisions/limits/FairShareLimit.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/FairShareLimit.java
@@ -15,7 +15,8 @@
      * Returns whether one more request of the organisation is refused as {@link AdmissionReason#FAIR_PART_EXCEEDED}.
      *
      * @param organisationInFlight requests of the organisation in flight from this VM for the target
-     * @param activeOrganisations organisations that sent requests for the target through this VM in the last few seconds
+     * @param activeOrganisations organisations that sent requests for the target through this VM in the last few
+     *     seconds
      * @param slotsInUse this VM's slots in use over all endpoints of the target
      * @param slots this VM's granted slots over all endpoints of the target
      */
--- a/src/main/java/org/wigeongrade/decisions/outcomes/AttemptEvent.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/AttemptEvent.java
@@ -5,7 +5,7 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.RunStatus;
 
-/** How an attempt ended; each value determines exactly one run status of the request. */
+/** How an attempt ended; each value determines exactly one {@link RunStatus} of the request. */
 public enum AttemptEvent {
     /** The final check before sending refused the request. */
     NOT_SENT(RunStatus.NOT_RUN, ErrorKind.NO_VIEW_LEASE),
--- a/src/main/java/org/wigeongrade/decisions/outcomes/AttemptOutcome.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/AttemptOutcome.java
@@ -5,9 +5,9 @@
 /**
  * The outcome of one attempt.
  *
- * <p>Invariant: the run status is {@link RunStatus#NOT_RUN} only if no byte of the request was handed to a connection, or if
- * the endpoint itself stated, in a complete response to this attempt, that it did not run the request. Immutable; safe
- * for use from any thread.
+ * <p>Invariant: the run status is {@link RunStatus#NOT_RUN} only if no byte of the request was handed to a connection,
+ * or if the endpoint itself stated, in a complete response to this attempt, that it did not run the request. Immutable;
+ * safe for use from any thread.
  */
 public record AttemptOutcome(AttemptEvent event) {
     private static final int TOO_MANY_REQUESTS = 429;
