--- a/src/main/java/org/wigeongrade/disk/LogFile.java
+++ b/src/main/java/org/wigeongrade/disk/LogFile.java
@@ -20,7 +20,7 @@
  * frame is not part of the log. Not thread safe.
  */
 final class LogFile implements AutoCloseable {
-    /** What the file holds. */
+    /** The decoded content of the file. */
     record Content(long incarnation, Position base, ImmutableList<LogEntry> entries) {}
 
     private final Path path;
--- a/src/main/java/org/wigeongrade/fleet/SuspendAwareClock.java
+++ b/src/main/java/org/wigeongrade/fleet/SuspendAwareClock.java
@@ -6,9 +6,9 @@
 /**
  * A monotonic clock, in nanoseconds, that includes the time for which the VM was suspended.
  *
- * <p>The JVM's monotonic clock stops while a VM is suspended, the wall clock does not. If the wall clock jumps forward
- * relative to the monotonic clock, the jump counts as a suspension, so that a lease ends too early rather than too
- * late; a backward jump is ignored. Invariant: the returned time never decreases. Thread safe.
+ * <p>The JVM's monotonic clock stops while a VM is suspended, but the wall clock does not. If the wall clock jumps
+ * forward relative to the monotonic clock, the jump counts as a suspension, so that a lease ends too early rather than
+ * too late; a backward jump is ignored. Invariant: the returned time never decreases. Thread safe.
  */
 public final class SuspendAwareClock implements LongSupplier {
     /** Smaller changes of the offset are treated as clock drift. */
--- a/src/main/java/org/wigeongrade/fleet/control/ControlNode.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlNode.java
@@ -44,7 +44,7 @@
 public final class ControlNode implements AutoCloseable {
     /** Threads that serve calls from other nodes; each call takes a few milliseconds. */
     private static final int WORKER_THREADS = 4;
-    /** Largest accepted configuration, in bytes: what one command of the log carries, less its JSON form. */
+    /** Largest accepted configuration, in bytes: what fits into one log command, less the overhead of its JSON form. */
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
 
     private static final int MAX_HEADER_BYTES = 16 * 1024;
@@ -53,7 +53,7 @@
      * control VMs restart.
      */
     private static final LogTimings LOG_TIMINGS = LogTimings.ofMs(120, 600, 1_100, 500);
-    /** Silence after which a replacement VM takes over a voter's seat; longer than any restart. */
+    /** Silence after which a replacement VM becomes a voter in place of a silent one; longer than any restart. */
     private static final long REPLACE_SILENT_VOTER_AFTER_NANOS = TimeUnit.SECONDS.toNanos(3);
     /** Time after which changes are accepted even if the fleet has fewer control VMs than it needs. */
     private static final long UNDERSIZED_FLEET_WAIT_NANOS = TimeUnit.SECONDS.toNanos(12);
@@ -68,7 +68,7 @@
     private final ControlDirectory directory;
     private final VmRegistry registry = new VmRegistry();
     private final HeartbeatRelay heartbeatRelay = new HeartbeatRelay();
-    private final PublishedStateMachine machine = new PublishedStateMachine();
+    private final PublishedStateMachine stateMachine = new PublishedStateMachine();
     private final SharedEventLoop loop = new SharedEventLoop();
     private final Map<String, PeerExchange> exchanges = new HashMap<>();
     private final long startedNanos = System.nanoTime();
@@ -98,7 +98,7 @@
         this.leaderLoop = new LeaderLoop(
                 self,
                 log,
-                machine,
+                stateMachine,
                 registry,
                 new ConfigurationCache(reader),
                 new OrderSender(new OneShotHttpClient(loop), orderCodec, events),
@@ -108,7 +108,7 @@
         this.requestHandler = new ControlRequestHandler(
                 self,
                 log,
-                machine,
+                stateMachine,
                 registry,
                 directory,
                 reader,
@@ -119,7 +119,7 @@
                 clock);
         final ControlService service = new ControlService(
                 log,
-                machine,
+                stateMachine,
                 registry,
                 directory,
                 leaderLoop::currentTerm,
@@ -132,7 +132,7 @@
                 WORKER_THREADS);
     }
 
-    /** Starts to serve; {@code apiFactory} creates the HTTP API for endpoint VMs and operators. */
+    /** Starts serving; {@code apiFactory} creates the HTTP API for endpoint VMs and operators. */
     public void start(
             Function<ControlRequestHandler, Function<HttpRequestHandler.Request, CompletableFuture<HttpReply>>>
                     apiFactory) {
@@ -195,7 +195,7 @@
                 directory,
                 LogSettings.DEFAULT_COMPACT_AFTER_ENTRIES);
         return RaftReplicatedLog.open(
-                logSettings, new ReplicatedPublishedState(machine), clock, this::haltOnLogFailure);
+                logSettings, new ReplicatedPublishedState(stateMachine), clock, this::haltOnLogFailure);
     }
 
     private int toleratedLosses() {
@@ -203,8 +203,8 @@
     }
 
     /**
-     * Returns the number of voters without which no change is accepted. With this many, a quorum of disks survives the
-     * number of losses that the fleet must tolerate.
+     * Returns the minimum number of voters with which changes are accepted. With this many, a quorum of disks survives
+     * the number of losses that the fleet must tolerate.
      */
     private int requiredVoters() {
         final int required = 2 * toleratedLosses() + 1;
--- a/src/main/java/org/wigeongrade/fleet/control/ControlRequestHandler.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlRequestHandler.java
@@ -37,7 +37,7 @@
 public final class ControlRequestHandler {
     private final NodeName self;
     private final RaftReplicatedLog log;
-    private final PublishedStateMachine machine;
+    private final PublishedStateMachine stateMachine;
     private final VmRegistry registry;
     private final ControlDirectory directory;
     private final DocumentReader reader;
@@ -51,7 +51,7 @@
     ControlRequestHandler(
             NodeName self,
             RaftReplicatedLog log,
-            PublishedStateMachine machine,
+            PublishedStateMachine stateMachine,
             VmRegistry registry,
             ControlDirectory directory,
             DocumentReader reader,
@@ -62,7 +62,7 @@
             LongSupplier nanoClock) {
         this.self = self;
         this.log = log;
-        this.machine = machine;
+        this.stateMachine = stateMachine;
         this.registry = registry;
         this.directory = directory;
         this.reader = reader;
@@ -112,13 +112,15 @@
 
     /** Takes an availability zone out of service or puts it back. */
     public CompletableFuture<ControlResponse> setZone(AvailabilityZone zone, boolean out) {
-        return submit(new PublishedCommand.SetZone(zone, out), machine.state().version())
+        return submit(
+                        new PublishedCommand.SetZone(zone, out),
+                        stateMachine.state().version())
                 .whenComplete((response, failure) -> {
                     if (response instanceof ControlResponse.Accepted) {
                         events.write(
                                 out ? LogEvent.ZONE_OUT : LogEvent.ZONE_IN,
                                 zone,
-                                machine.state().version(),
+                                stateMachine.state().version(),
                                 "platform");
                     }
                 });
@@ -127,7 +129,7 @@
     /** Returns the newest configuration if this node leads. */
     public ControlResponse readConfiguration() {
         final boolean ledBefore = log.isLeaderWithLease();
-        final PublishedState state = machine.state();
+        final PublishedState state = stateMachine.state();
         if (!ledBefore || !log.isLeaderWithLease()) {
             return redirectOrUnavailable();
         }
--- a/src/main/java/org/wigeongrade/fleet/control/ControlResponse.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlResponse.java
@@ -30,7 +30,7 @@
     /** The published version is the version in force, but its content differs. */
     record Conflict(String message) implements ControlResponse {}
 
-    /** Only the leader can answer, at this address. */
+    /** Only the leader, at this address, can handle the request. */
     record RedirectToLeader(InetSocketAddress leader) implements ControlResponse {}
 
     /** The request cannot be answered now; it may or may not have taken effect. */
--- a/src/main/java/org/wigeongrade/fleet/control/ControlService.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ControlService.java
@@ -33,7 +33,7 @@
     private static final System.Logger LOGGER = System.getLogger(ControlService.class.getName());
 
     private final RaftReplicatedLog log;
-    private final PublishedStateMachine machine;
+    private final PublishedStateMachine stateMachine;
     private final VmRegistry registry;
     private final ControlDirectory directory;
     private final Supplier<Optional<LeaderTerm>> leaderTerm;
@@ -43,7 +43,7 @@
 
     ControlService(
             RaftReplicatedLog log,
-            PublishedStateMachine machine,
+            PublishedStateMachine stateMachine,
             VmRegistry registry,
             ControlDirectory directory,
             Supplier<Optional<LeaderTerm>> leaderTerm,
@@ -51,7 +51,7 @@
             Runnable requestPlanning,
             LongSupplier nanoClock) {
         this.log = log;
-        this.machine = machine;
+        this.stateMachine = stateMachine;
         this.registry = registry;
         this.directory = directory;
         this.leaderTerm = leaderTerm;
@@ -72,7 +72,7 @@
             return reply;
         }
         final boolean ledBefore = log.isLeaderWithLease();
-        final PublishedState state = machine.state();
+        final PublishedState state = stateMachine.state();
         writeState(state, request.getConfigurationVersion(), reply);
         term.get().handlePull(request, reply, nanoClock.getAsLong());
         return reply.setLeads(ledBefore && log.isLeaderWithLease());
--- a/src/main/java/org/wigeongrade/fleet/control/LeaderLoop.java
+++ b/src/main/java/org/wigeongrade/fleet/control/LeaderLoop.java
@@ -24,12 +24,12 @@
  * <p>Invariant: all plans of a term come from one {@link LeaderTerm}, made only while the lease is held. Thread safe.
  */
 final class LeaderLoop implements AutoCloseable {
-    /** Heartbeat intervals after the start of this node before a VM that it has not heard from counts as lost. */
+    /** Heartbeat intervals that this node waits after its start before it treats VMs without a heartbeat as lost. */
     private static final double DISCOVERY_HEARTBEATS = 2;
 
     private final NodeName self;
     private final RaftReplicatedLog log;
-    private final PublishedStateMachine machine;
+    private final PublishedStateMachine stateMachine;
     private final VmRegistry registry;
     private final ConfigurationCache configurations;
     private final OrderSender orderSender;
@@ -44,7 +44,7 @@
     LeaderLoop(
             NodeName self,
             RaftReplicatedLog log,
-            PublishedStateMachine machine,
+            PublishedStateMachine stateMachine,
             VmRegistry registry,
             ConfigurationCache configurations,
             OrderSender orderSender,
@@ -53,7 +53,7 @@
             LongSupplier nanoClock) {
         this.self = self;
         this.log = log;
-        this.machine = machine;
+        this.stateMachine = stateMachine;
         this.registry = registry;
         this.configurations = configurations;
         this.orderSender = orderSender;
@@ -73,7 +73,7 @@
         return currentTerm;
     }
 
-    /** Requests a planning step soon; called after an order's answer or a change of a group. */
+    /** Requests a planning step soon; called after the response to an order or a change of a group. */
     void wake() {
         wakeUps.release();
     }
@@ -111,7 +111,7 @@
     }
 
     private void plan(LeaderTerm term) {
-        final PublishedState state = machine.state();
+        final PublishedState state = stateMachine.state();
         final long nowNanos = nanoClock.getAsLong();
         if (state.document().isEmpty()) {
             return;
--- a/src/main/java/org/wigeongrade/fleet/control/OrderCodec.java
+++ b/src/main/java/org/wigeongrade/fleet/control/OrderCodec.java
@@ -10,6 +10,6 @@
     /** Returns the request that carries the order. */
     FullHttpRequest encode(GroupOrder order);
 
-    /** Returns the outcome of the order that the answer reports. */
-    OrderAnswer decode(GroupOrder order, OneShotHttpClient.Response answer);
+    /** Returns the outcome of the order that the response reports. */
+    OrderAnswer decode(GroupOrder order, OneShotHttpClient.Response response);
 }
--- a/src/main/java/org/wigeongrade/fleet/control/OrderSender.java
+++ b/src/main/java/org/wigeongrade/fleet/control/OrderSender.java
@@ -14,22 +14,25 @@
 
 /** Sends orders to endpoint VMs and passes on their outcomes. Thread safe. */
 final class OrderSender {
-    /** Timeout of an order, in milliseconds; VMs answer immediately and are a few milliseconds away. */
+    /** Timeout of an order, in milliseconds; VMs respond immediately, and the network delay is a few milliseconds. */
     private static final int ORDER_TIMEOUT_MS = 450;
     /** Timeout of a probe, in milliseconds; a VM counts as lost only after two probes. */
     private static final int PROBE_TIMEOUT_MS = 250;
 
-    private final OneShotHttpClient calls;
+    private final OneShotHttpClient httpClient;
     private final OrderCodec codec;
     private final EventLog events;
 
-    OrderSender(OneShotHttpClient calls, OrderCodec codec, EventLog events) {
-        this.calls = calls;
+    OrderSender(OneShotHttpClient httpClient, OrderCodec codec, EventLog events) {
+        this.httpClient = httpClient;
         this.codec = codec;
         this.events = events;
     }
 
-    /** Sends an order and calls {@code onOutcome} with the answer, or with the outcome that a failure implies. */
+    /**
+     * Sends an order and calls {@code onOutcome} with the outcome in the response, or with the outcome that a failure
+     * implies.
+     */
     void send(GroupOrder order, BiConsumer<GroupOrder, OrderAnswer> onOutcome) {
         final HostAndPort target = HostAndPort.fromString(order.address());
         final InetSocketAddress address =
@@ -40,11 +43,12 @@
                 order.group(),
                 order.vm(),
                 order.fencingTerm() + "." + order.epoch());
-        final var unused = calls.send(address, codec.encode(order), timeoutMs(order.kind()))
-                .whenComplete((answer, failure) -> {
-                    final OrderAnswer outcome = failure == null ? codec.decode(order, answer) : outcomeOf(failure);
+        final var unused = httpClient
+                .send(address, codec.encode(order), timeoutMs(order.kind()))
+                .whenComplete((response, failure) -> {
+                    final OrderAnswer outcome = failure == null ? codec.decode(order, response) : outcomeOf(failure);
                     if (outcome != OrderAnswer.BEGUN && outcome != OrderAnswer.DONE) {
-                        final String cause = failure == null ? "status " + answer.status() : failure.toString();
+                        final String cause = failure == null ? "status " + response.status() : failure.toString();
                         events.write(
                                 LogEvent.ORDER_REFUSED,
                                 order.kind(),
--- a/src/main/java/org/wigeongrade/fleet/control/PeerExchange.java
+++ b/src/main/java/org/wigeongrade/fleet/control/PeerExchange.java
@@ -20,7 +20,7 @@
 import org.wigeongrade.logging.LogEvent;
 
 /**
- * Relays the heartbeats that arrived at this node to one other control VM, on a thread of its own, and learns which
+ * Relays the heartbeats that arrived at this node to one other control VM, on a dedicated thread, and learns which
  * control VMs the peer knows.
  *
  * <p>Invariant: heartbeats of a failed exchange are sent again in the next one. Thread safe.
@@ -28,7 +28,7 @@
 final class PeerExchange implements AutoCloseable {
     /** Delay before sending to a leader, in milliseconds, so that heartbeats that arrive together form one batch. */
     private static final long BATCH_DELAY_MS = 15;
-    /** Pause before the next attempt if the peer does not answer, in milliseconds. */
+    /** Pause before the next attempt if the peer does not reply, in milliseconds. */
     private static final long RETRY_PAUSE_MS = 500;
 
     private final String self;
@@ -112,7 +112,7 @@
                 .toList();
         final ExchangeRequest request = new ExchangeRequest(self, List.copyOf(directory.controlVmIps()), heartbeats);
         try {
-            final ExchangeReply reply = client.call(calls -> calls.exchange(request));
+            final ExchangeReply reply = client.call(thriftClient -> thriftClient.exchange(request));
             recordReachable(nowNanos);
             onControlVmsLearned.accept(reply.getControlVms());
             return true;
--- a/src/main/java/org/wigeongrade/fleet/control/ReplicatedPublishedState.java
+++ b/src/main/java/org/wigeongrade/fleet/control/ReplicatedPublishedState.java
@@ -4,19 +4,19 @@
 import org.wigeongrade.nodes.log.ReplicatedStateMachine;
 
 /** Applies the commands of the replicated log to the published state. Called only on the log's thread. */
-record ReplicatedPublishedState(PublishedStateMachine machine) implements ReplicatedStateMachine {
+record ReplicatedPublishedState(PublishedStateMachine stateMachine) implements ReplicatedStateMachine {
     @Override
     public byte[] apply(long index, byte[] command) {
-        return machine.apply(command);
+        return stateMachine.apply(command);
     }
 
     @Override
     public byte[] snapshot() {
-        return machine.snapshot();
+        return stateMachine.snapshot();
     }
 
     @Override
     public void restore(byte[] snapshot) {
-        machine.restore(snapshot);
+        stateMachine.restore(snapshot);
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/control/RoutableEndpointTable.java
+++ b/src/main/java/org/wigeongrade/fleet/control/RoutableEndpointTable.java
@@ -15,11 +15,11 @@
  * The endpoints that requests may be sent to. Each change has a number, so that entry nodes need only the changes since
  * their last pull.
  *
- * <p>Invariant: the change number grows with each change, and removed endpoints keep an entry. Not thread safe; {@link
- * LeaderTerm} guards it.
+ * <p>Invariant: the change number grows with each change, and a removed endpoint keeps an entry, so that its removal is
+ * sent as a change. Not thread safe; {@link LeaderTerm} guards it.
  */
 final class RoutableEndpointTable {
-    /** Shift of the end of a cold start up to which an endpoint counts as unchanged. */
+    /** Largest change of the expected end of a cold start at which an endpoint still counts as unchanged. */
     private static final long COLD_START_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     /** A routable endpoint and the model that it serves; only the head of a group has a model. */
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointCall.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointCall.java
@@ -40,7 +40,7 @@
         channel = Optional.of(connection);
     }
 
-    /** Closes the connection, so that the endpoint drops the request; the listener is not called any more. */
+    /** Closes the connection, so that the endpoint drops the request; the listener is not called again. */
     void cancel() {
         finished = true;
         channel.ifPresent(open -> NettyFutures.logFailure(open.close()));
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointListener.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointListener.java
@@ -1,8 +1,8 @@
 package org.wigeongrade.fleet.entry;
 
 /**
- * Receives the progress and outcome of one request to an endpoint. Called on the event loop, and not any more after the
- * response is complete or the request failed.
+ * Receives the progress and outcome of one request to an endpoint. Called on the event loop, and not called again after
+ * the response is complete or the request failed.
  */
 interface EndpointListener {
     /** Called when the status and headers of the response arrived. */
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointRegistry.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointRegistry.java
@@ -23,8 +23,8 @@
 import org.wigeongrade.logging.LogEvent;
 
 /**
- * The endpoints of the latest view with the load and failures that this node observed at each. Used on the event loop
- * only.
+ * The endpoints of the latest view, each with the load and the failures that this node observed there. Used on the
+ * event loop only.
  *
  * <p>Invariant: an endpoint that is no longer in the view is kept while it has requests in flight, but gets no new
  * ones.
--- a/src/main/java/org/wigeongrade/fleet/entry/EntryNode.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EntryNode.java
@@ -130,7 +130,7 @@
                 CallerLimits.DEFAULT.maxHeaderBytes(),
                 pipeline -> pipeline.addLast(new HttpObjectAggregator(MAX_READINESS_BYTES))
                         .addLast(new HttpRequestHandler(
-                                call -> CompletableFuture.completedFuture(answerReadinessCheck(call)))));
+                                call -> CompletableFuture.completedFuture(respondToReadinessCheck(call)))));
         MetricsListener.open(loop, new InetSocketAddress(settings.bindIp(), settings.metricsPort()), metrics);
         events.write(
                 LogEvent.NODE_STARTED,
@@ -161,7 +161,7 @@
                 .addLast(new CallerConnection(services, connections));
     }
 
-    private HttpReply answerReadinessCheck(HttpRequestHandler.Request call) {
+    private HttpReply respondToReadinessCheck(HttpRequestHandler.Request call) {
         if (!codec.isReadinessCheck(call.method(), call.path())) {
             return HttpReply.text(NOT_FOUND, "only the readiness check is served here\n");
         }
--- a/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
@@ -30,7 +30,7 @@
 final class Exchange {
     /** Maximum of attempts for one request, including those that no endpoint ran. */
     private static final int MAX_ATTEMPTS = 4;
-    /** Retry-After of a node without a view: when the whole fleet starts, covers the longest election and one pull. */
+    /** Retry-After of a node without a view; covers the longest election and one pull when the whole fleet starts. */
     private static final long STARTUP_RETRY_AFTER_MS = 1_500;
     /** With less time left, in milliseconds, an attempt cannot complete before the deadline. */
     private static final long MIN_ATTEMPT_MS = 5;
--- a/src/main/java/org/wigeongrade/fleet/entry/RelayedStream.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/RelayedStream.java
@@ -33,14 +33,16 @@
     }
 
     /**
-     * Returns the id of the event after which the next endpoint must continue: the last one forwarded, or before the
-     * first one that of the caller's request.
+     * Returns the id of the event after which the next endpoint must continue: the last one forwarded or, if
+     * none was forwarded, the one that the caller's request names.
      */
     OptionalLong resumeAfter(CallerRequest request) {
         return begun ? lastEventId : request.lastEventId();
     }
 
-    /** Forwards the status and headers unless that was done; a stream keeps those of its first endpoint. */
+    /**
+     * Forwards the status and headers unless they were forwarded before; a stream keeps those of its first endpoint.
+     */
     void begin(ResponseHead head, ResponseWriter responseWriter) {
         if (!begun) {
             begun = true;
--- a/src/main/java/org/wigeongrade/fleet/entry/ViewPuller.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/ViewPuller.java
@@ -103,7 +103,7 @@
         final PullRequest request = callOnEventLoop(this::buildRequest);
         final long sentNanos = nanoClock.getAsLong();
         try {
-            final PullReply reply = client.orElseThrow().call(calls -> calls.pull(request));
+            final PullReply reply = client.orElseThrow().call(thriftClient -> thriftClient.pull(request));
             directory.addControlVms(reply.getControlVms());
             if (reply.isLeads()) {
                 applyReply(reply, sentNanos);
--- a/src/main/java/org/wigeongrade/fleet/net/HttpRequestHandler.java
+++ b/src/main/java/org/wigeongrade/fleet/net/HttpRequestHandler.java
@@ -14,7 +14,7 @@
 import org.wigeongrade.decisions.log.Bytes;
 
 /**
- * Handles the requests of one HTTP connection with a function, in their order. Used on the event loop only.
+ * Passes the requests of one HTTP connection to a function, in the order of arrival. Used on the event loop only.
  *
  * <p>Invariant: the next request is read only after the response to the previous one was written.
  */
--- a/src/main/java/org/wigeongrade/fleet/net/NettyFutures.java
+++ b/src/main/java/org/wigeongrade/fleet/net/NettyFutures.java
@@ -3,7 +3,7 @@
 import io.netty.util.concurrent.Future;
 import java.lang.System.Logger.Level;
 
-/** Handles operations whose outcome nobody waits for. Stateless; safe for use from any thread. */
+/** Logs failures of network operations whose outcome nobody waits for. Stateless; safe for use from any thread. */
 public final class NettyFutures {
     private static final System.Logger LOGGER = System.getLogger(NettyFutures.class.getName());
 
--- a/src/main/java/org/wigeongrade/fleet/package-info.java
+++ b/src/main/java/org/wigeongrade/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Processes of a fleet whose nodes discover each other through seed addresses. */
+/** The processes of a fleet whose nodes discover each other through seed addresses. */
 package org.wigeongrade.fleet;
--- a/src/main/java/org/wigeongrade/nodes/CrashRecords.java
+++ b/src/main/java/org/wigeongrade/nodes/CrashRecords.java
@@ -23,10 +23,10 @@
         final CrashReportRecord record = new CrashReportRecord();
         record.setSequence(report.sequence());
         record.setLosses(report.losses().stream()
-                .map(loss -> run(loss.requestDigest(), loss.incarnation()))
+                .map(loss -> runRecord(loss.requestDigest(), loss.incarnation()))
                 .toList());
         record.setCompletions(report.completions().stream()
-                .map(completion -> run(completion.requestDigest(), completion.incarnation()))
+                .map(completion -> runRecord(completion.requestDigest(), completion.incarnation()))
                 .toList());
         record.setWantedTrials(ImmutableList.copyOf(wantedTrials));
         return record;
@@ -36,10 +36,10 @@
         return new CrashReport(
                 record.getSequence(),
                 record.getLosses().stream()
-                        .map(run -> new CrashReport.Loss(run.getRequestDigest(), life(run)))
+                        .map(run -> new CrashReport.Loss(run.getRequestDigest(), incarnationOf(run)))
                         .collect(ImmutableSet.toImmutableSet()),
                 record.getCompletions().stream()
-                        .map(run -> new CrashReport.Completion(run.getRequestDigest(), life(run)))
+                        .map(run -> new CrashReport.Completion(run.getRequestDigest(), incarnationOf(run)))
                         .collect(ImmutableSet.toImmutableSet()));
     }
 
@@ -69,11 +69,11 @@
                 record.getTrialNanos());
     }
 
-    private static RunRecord run(String requestDigest, EndpointIncarnation life) {
-        return new RunRecord(requestDigest, life.endpoint().value(), life.incarnation());
+    private static RunRecord runRecord(String requestDigest, EndpointIncarnation incarnation) {
+        return new RunRecord(requestDigest, incarnation.endpoint().value(), incarnation.incarnation());
     }
 
-    private static EndpointIncarnation life(RunRecord run) {
+    private static EndpointIncarnation incarnationOf(RunRecord run) {
         return new EndpointIncarnation(new EndpointId(run.getEndpoint()), run.getIncarnation());
     }
 }
--- a/src/main/java/org/wigeongrade/nodes/FleetExplanations.java
+++ b/src/main/java/org/wigeongrade/nodes/FleetExplanations.java
@@ -33,23 +33,27 @@
 
     private final EntryRole entry;
     private final Optional<ControlRole> control;
-    private final LeaderClient link;
+    private final LeaderClient leaderClient;
     private final ImmutableMap<NodeName, PeerClient> peers;
     private final LocalExplanations local;
 
     /** {@code peers} are all other processes of the fleet. */
     public FleetExplanations(
-            EntryRole entry, Optional<ControlRole> control, LeaderClient link, Map<NodeName, PeerClient> peers) {
+            EntryRole entry,
+            Optional<ControlRole> control,
+            LeaderClient leaderClient,
+            Map<NodeName, PeerClient> peers) {
         this.entry = entry;
         this.control = control;
-        this.link = link;
+        this.leaderClient = leaderClient;
         this.peers = ImmutableMap.copyOf(peers);
         this.local = new LocalExplanations(entry, control);
     }
 
     /** Returns the leader's status report as JSON; throws with kind CONTROL_UNAVAILABLE if no leader answers. */
     public String status() {
-        final NodeName leader = link.leader()
+        final NodeName leader = leaderClient
+                .leader()
                 .orElseThrow(() -> new WigeongradeException(
                         ErrorKind.CONTROL_UNAVAILABLE, "this entry VM does not know the leader of the control VMs"));
         if (leader.equals(entry.self()) && control.isPresent()) {
@@ -61,9 +65,9 @@
     /** Returns {@code {"kind","id","decisions":[...],"unreachable":[...]}}, with the decisions in order of time. */
     public String explain(String kind, String id) {
         final List<JsonNode> decisions = new ArrayList<>();
-        final ObjectNode answer = MAPPER.createObjectNode();
-        answer.put("kind", kind);
-        answer.put("id", id);
+        final ObjectNode explanation = MAPPER.createObjectNode();
+        explanation.put("kind", kind);
+        explanation.put("id", id);
         parse(new String(local.explain(kind, id), StandardCharsets.UTF_8)).forEach(decisions::add);
         final ArrayNode unreachable = MAPPER.createArrayNode();
         for (final Map.Entry<NodeName, PeerClient> peer : peers.entrySet()) {
@@ -75,10 +79,10 @@
             }
         }
         decisions.sort(Comparator.comparing(decision -> decision.path("at").asText()));
-        final ArrayNode ordered = answer.putArray("decisions");
+        final ArrayNode ordered = explanation.putArray("decisions");
         decisions.stream().distinct().forEach(ordered::add);
-        answer.set("unreachable", unreachable);
-        return answer.toString();
+        explanation.set("unreachable", unreachable);
+        return explanation.toString();
     }
 
     private static JsonNode parse(String json) {
--- a/src/main/java/org/wigeongrade/nodes/LeaderClient.java
+++ b/src/main/java/org/wigeongrade/nodes/LeaderClient.java
@@ -54,7 +54,7 @@
         return leaderHint;
     }
 
-    /** Pulls from the leader; returns empty if no control VM answered as leader. */
+    /** Pulls from the leader; returns empty if no control VM replied as the leader. */
     public Optional<PullReply> pull(PullRequest request) {
         final List<NodeName> tried = new ArrayList<>();
         Optional<NodeName> next = firstCandidate();
@@ -85,7 +85,7 @@
         final byte[] encoded = ControlCodec.encode(command);
         boolean mayTakeEffect = false;
         WigeongradeException lastFailure =
-                new WigeongradeException(ErrorKind.CONTROL_UNAVAILABLE, "no control VM answered before the deadline");
+                new WigeongradeException(ErrorKind.CONTROL_UNAVAILABLE, "no control VM replied before the deadline");
         while (nanoClock.getAsLong() - deadlineNanos < 0) {
             for (final NodeName node : candidates()) {
                 try {
--- a/src/main/java/org/wigeongrade/nodes/NodeServer.java
+++ b/src/main/java/org/wigeongrade/nodes/NodeServer.java
@@ -43,7 +43,7 @@
         acceptThread.setDaemon(true);
     }
 
-    /** Starts to serve calls. */
+    /** Starts serving calls. */
     public void start() {
         acceptThread.start();
     }
--- a/src/main/java/org/wigeongrade/nodes/NodeServiceHandler.java
+++ b/src/main/java/org/wigeongrade/nodes/NodeServiceHandler.java
@@ -28,24 +28,24 @@
 
     @Override
     public PullReply pull(PullRequest request) throws NodeFailure {
-        return answer(() -> controlRole().pull(request));
+        return runConvertingFailures(() -> controlRole().pull(request));
     }
 
     @Override
     public ByteBuffer submit(ByteBuffer command) throws NodeFailure {
         final byte[] bytes = new byte[command.remaining()];
         command.get(bytes);
-        return answer(() -> ByteBuffer.wrap(controlRole().submit(bytes)));
+        return runConvertingFailures(() -> ByteBuffer.wrap(controlRole().submit(bytes)));
     }
 
     @Override
     public ByteBuffer explain(String kind, String id) throws NodeFailure {
-        return answer(() -> ByteBuffer.wrap(explanations.explain(kind, id)));
+        return runConvertingFailures(() -> ByteBuffer.wrap(explanations.explain(kind, id)));
     }
 
     @Override
     public ByteBuffer status() throws NodeFailure {
-        return answer(() -> ByteBuffer.wrap(StatusReport.toJson(controlRole())));
+        return runConvertingFailures(() -> ByteBuffer.wrap(StatusReport.toJson(controlRole())));
     }
 
     @Override
@@ -58,7 +58,7 @@
                 ErrorKind.CONTROL_UNAVAILABLE, "node '" + entry.self() + "' does not run the control role"));
     }
 
-    private static <T> T answer(Supplier<T> call) throws NodeFailure {
+    private static <T> T runConvertingFailures(Supplier<T> call) throws NodeFailure {
         try {
             return call.get();
         } catch (WigeongradeException failure) {
--- a/src/main/java/org/wigeongrade/nodes/PeerClient.java
+++ b/src/main/java/org/wigeongrade/nodes/PeerClient.java
@@ -16,9 +16,9 @@
 /**
  * Calls the node service of one other process.
  *
- * <p>Invariant: a connection on which a call failed without an answer is closed and never used again, and every read
- * has a timeout, so a connection that went silent costs one timeout. Thread safe; each call uses a connection
- * exclusively, and {@code idle} is guarded by this object's lock, which is never held during a call.
+ * <p>Invariant: a connection on which a call failed without a reply is closed and never used again, and every read
+ * has a timeout, so a peer that no longer replies delays a call by one timeout at most. Thread safe; each call uses a
+ * connection exclusively, and {@code idle} is guarded by this object's lock, which is never held during a call.
  */
 public final class PeerClient {
     private static final int MAX_IDLE_CONNECTIONS = 4;
@@ -39,18 +39,18 @@
     }
 
     /**
-     * Runs a call and waits for the answer.
+     * Runs a call and waits for the reply.
      *
-     * @param readTimeoutMs the longest time to wait for the answer, in milliseconds
+     * @param readTimeoutMs the longest time to wait for the reply, in milliseconds
      * @throws WigeongradeException with the peer's error kind if the peer returned an error; CONTROL_UNAVAILABLE if no
      *     connection could be opened, so that the call did not run; OUTCOME_UNKNOWN if the connection failed after that
      */
     public <T> T call(int readTimeoutMs, Call<T> call) {
         final Connection connection = acquire(readTimeoutMs);
         try {
-            final T answer = call.apply(connection.client);
+            final T reply = call.apply(connection.client);
             release(connection);
-            return answer;
+            return reply;
         } catch (NodeFailure failure) {
             release(connection);
             throw new WigeongradeException(
--- a/src/main/java/org/wigeongrade/nodes/control/ConfigurationViews.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ConfigurationViews.java
@@ -6,7 +6,7 @@
 import org.wigeongrade.nodes.ConfigurationView;
 
 /**
- * Builds the view of the configuration from the control state, at one revision. Stateless; safe for use from any
+ * Builds the view of one revision of the configuration from the control state. Stateless; safe for use from any
  * thread.
  */
 final class ConfigurationViews {
--- a/src/main/java/org/wigeongrade/nodes/control/ControlRole.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ControlRole.java
@@ -92,9 +92,9 @@
      */
     public byte[] submit(byte[] command) {
         try {
-            final Command stamped =
+            final Command timestamped =
                     CommandTimestamps.withTimestamp(ControlCodec.decodeCommand(command), epochMsClock.getAsLong());
-            final CompletableFuture<byte[]> result = log.submit(ControlCodec.encode(stamped));
+            final CompletableFuture<byte[]> result = log.submit(ControlCodec.encode(timestamped));
             return Uninterruptibles.getUninterruptibly(result, COMMIT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException failure) {
             if (failure.getCause() instanceof WigeongradeException known) {
--- a/src/main/java/org/wigeongrade/nodes/control/FleetMetrics.java
+++ b/src/main/java/org/wigeongrade/nodes/control/FleetMetrics.java
@@ -18,8 +18,8 @@
 import org.wigeongrade.metrics.Metrics;
 
 /**
- * Counts group downtime and stranded accelerators while this VM is the leader, and logs when a group starts or stops
- * serving.
+ * Counts group downtime and stranded accelerators (those of engine VMs that are in no serving group) while this VM is
+ * the leader, and logs when a group starts or stops serving.
  *
  * <p>Invariant: each time span is counted once; time without a leader is not counted. Used by one thread.
  */
@@ -65,8 +65,8 @@
             }
         }
         for (final PoolDeclaration pool : state.declaredSet().pools()) {
-            final int down = pool.replicas() - servingGroups.getOrDefault(pool.name(), 0);
-            metrics.addGroupDowntimeMs(pool.name(), Math.max(0, down) * spanMs);
+            final int missing = pool.replicas() - servingGroups.getOrDefault(pool.name(), 0);
+            metrics.addGroupDowntimeMs(pool.name(), Math.max(0, missing) * spanMs);
         }
     }
 
--- a/src/main/java/org/wigeongrade/nodes/control/FleetSnapshotBuilder.java
+++ b/src/main/java/org/wigeongrade/nodes/control/FleetSnapshotBuilder.java
@@ -32,8 +32,8 @@
 /**
  * Determines which endpoints may serve, from the replicated state and the announcements.
  *
- * <p>Endpoints in availability zones that are out are included: entry VMs exclude them according to the configuration
- * that they have in force. Not thread safe; each instance is used for one call.
+ * <p>Endpoints in availability zones that are out of service are included: entry VMs exclude them according to the
+ * configuration that they have in force. Not thread safe; each instance is used for one call.
  */
 final class FleetSnapshotBuilder {
     private final DeclaredSet declaredSet;
@@ -84,12 +84,12 @@
         announcements.live(nowNanos).stream()
                 .filter(announcement -> announcement.kind() == EndpointKind.SERVICE)
                 .forEach(this::addService);
-        final ImmutableList<EndpointRecord> list = endpoints.build();
+        final ImmutableList<EndpointRecord> records = endpoints.build();
         return new FleetSnapshot(
                 nowNanos,
                 appliedIndex,
-                digest(list),
-                list,
+                digest(records),
+                records,
                 servingDeadlinesNanos.buildOrThrow(),
                 loads.build(),
                 notServing.buildOrThrow());
--- a/src/main/java/org/wigeongrade/nodes/control/FreedVms.java
+++ b/src/main/java/org/wigeongrade/nodes/control/FreedVms.java
@@ -16,7 +16,7 @@
     private final Map<VmName, Long> leasesEndNanosByVm = new HashMap<>();
 
     /** Records that the group was dissolved. Its last serving lease ends at {@code leasesEndNanos} at the latest. */
-    void groupDissolved(FormedGroup group, long leasesEndNanos) {
+    void recordDissolvedGroup(FormedGroup group, long leasesEndNanos) {
         group.members().stream().map(VmIncarnation::vm).forEach(vm -> leasesEndNanosByVm.put(vm, leasesEndNanos));
     }
 
--- a/src/main/java/org/wigeongrade/nodes/control/LeaderState.java
+++ b/src/main/java/org/wigeongrade/nodes/control/LeaderState.java
@@ -19,8 +19,8 @@
  * The volatile state of a leader for one term: what it knows beyond the replicated log.
  *
  * <p>Invariant: it starts empty in each term, and nothing in it is used after the term. Thread safe: the tables have
- * their own locks; {@code entries}, {@code holds} and {@code snapshot} are guarded by this object's lock, which is
- * acquired before the locks of the tables and never after them.
+ * their own locks; {@code entryStatuses}, {@code holds} and {@code snapshot} are guarded by this object's lock, which
+ * is acquired before the locks of the tables and never after them.
  */
 final class LeaderState {
     private static final long SNAPSHOT_MAX_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
@@ -34,7 +34,7 @@
     private final ShareAllocator shares;
     private final CrashSuspects suspects = new CrashSuspects(SUSPECT_RETENTION_NANOS, TRIAL_LEASE_NANOS);
     private final CacheEventRing cacheEvents = new CacheEventRing();
-    private final Map<NodeName, EntryStatus> entries = new TreeMap<>();
+    private final Map<NodeName, EntryStatus> entryStatuses = new TreeMap<>();
     private Optional<FleetSnapshot> snapshot = Optional.empty();
     private ImmutableMap<GroupName, PlacementReason> holds = ImmutableMap.of();
 
@@ -65,7 +65,7 @@
         return cacheEvents;
     }
 
-    /** Returns the time from which on every live VM has had the time to announce itself to this leader. */
+    /** Returns the time after which every live VM has had time to announce itself to this leader. */
     long membersKnownAtNanos() {
         return sinceNanos + timings.announcementLeaseNanos();
     }
@@ -75,7 +75,7 @@
         return timings.viewLeaseNanos();
     }
 
-    /** Returns the time from which on no lease given by an earlier leader is valid. */
+    /** Returns the time after which no lease granted by an earlier leader is valid. */
     long olderLeasesEndNanos() {
         return sinceNanos + timings.viewLeaseNanos();
     }
@@ -89,22 +89,22 @@
         return holds;
     }
 
-    /** Returns the time from which on no order of an earlier leader can arrive. */
+    /** Returns the time after which no order of an earlier leader can arrive. */
     long olderOrdersEndNanos() {
         return sinceNanos + timings.viewLeaseNanos() + timings.orderTimeoutNanos();
     }
 
     synchronized void recordEntry(EntryStatus status) {
-        entries.put(status.node(), status);
+        entryStatuses.put(status.node(), status);
     }
 
-    synchronized ImmutableList<EntryStatus> entries() {
-        return ImmutableList.copyOf(entries.values());
+    synchronized ImmutableList<EntryStatus> entryStatuses() {
+        return ImmutableList.copyOf(entryStatuses.values());
     }
 
     private Map<NodeName, String> callerAddresses() {
         final Map<NodeName, String> addresses = new TreeMap<>();
-        entries.values().forEach(status -> addresses.put(status.node(), status.callerAddress()));
+        entryStatuses.values().forEach(status -> addresses.put(status.node(), status.callerAddress()));
         return addresses;
     }
 
--- a/src/main/java/org/wigeongrade/nodes/control/PlacementLoop.java
+++ b/src/main/java/org/wigeongrade/nodes/control/PlacementLoop.java
@@ -33,8 +33,8 @@
     private static final long INTERVAL_MS = 200;
 
     private final ControlRole control;
-    private final OrderSender orders;
-    private final ShareBounds shareBounds;
+    private final OrderSender orderSender;
+    private final ShareLimits shareLimits;
     private final FleetMetrics metrics;
     private final EventLog events;
     private final OrderRateLimiter orderRateLimiter = new OrderRateLimiter();
@@ -44,12 +44,12 @@
             .setDaemon(true)
             .build());
 
-    public PlacementLoop(ControlRole control, OrderSender orders, FleetMetrics metrics, EventLog events) {
+    public PlacementLoop(ControlRole control, OrderSender orderSender, FleetMetrics metrics, EventLog events) {
         this.control = control;
-        this.orders = orders;
+        this.orderSender = orderSender;
         this.metrics = metrics;
         this.events = events;
-        this.shareBounds = new ShareBounds();
+        this.shareLimits = new ShareLimits();
     }
 
     /** Starts the loop. */
@@ -83,7 +83,7 @@
 
     private void planAndExecute(LeaderState leaderState) {
         final long nowNanos = control.nowNanos();
-        shareBounds.update(control.state(), leaderState, nowNanos);
+        shareLimits.update(control.state(), leaderState, nowNanos);
         metrics.update(control.state(), leaderState, nowNanos);
         final PlacementInput input = PlacementInput.of(
                 control.state(),
@@ -128,7 +128,7 @@
         if (action instanceof PlacementAction.SendOrder send && maySend(send.order(), leaderState, nowNanos)) {
             final boolean leading = control.leaderState().isPresent();
             if (leading) {
-                orders.send(send.order());
+                orderSender.send(send.order());
             }
             return leading;
         }
@@ -151,7 +151,7 @@
         }
         if (action.reason() != PlacementReason.MEMBER_LOST) {
             final long leasesEndNanos = nowNanos + leaderState.viewLeaseNanos();
-            group.ifPresent(formed -> freedVms.groupDissolved(formed, leasesEndNanos));
+            group.ifPresent(formed -> freedVms.recordDissolvedGroup(formed, leasesEndNanos));
         }
         events.write(LogEvent.GROUP_DISSOLVED, command.group(), command.reason());
     }
--- a/src/main/java/org/wigeongrade/nodes/control/PullHandler.java
+++ b/src/main/java/org/wigeongrade/nodes/control/PullHandler.java
@@ -50,7 +50,7 @@
         this.nanoClock = nanoClock;
     }
 
-    /** Processes the reports in the request and returns the quarantines that they make due. */
+    /** Processes the reports in the request and returns the quarantines to propose because of them. */
     List<QuarantineProposal> processReports(PullRequest request, LeaderState leaderState) {
         final long nowNanos = nanoClock.getAsLong();
         request.getAnnouncements().forEach(record -> recordAnnouncement(record, leaderState, nowNanos));
@@ -136,14 +136,14 @@
             reply.setEndpoints(fleet.endpoints());
         }
         reply.setServingLeaseNanos(timings.viewLeaseNanos());
-        final Map<String, Long> shorter = new HashMap<>();
+        final Map<String, Long> shorterLeasesNanos = new HashMap<>();
         fleet.servingDeadlinesNanos().forEach((endpoint, deadlineNanos) -> {
             final long leftNanos = Math.max(0, deadlineNanos - nowNanos);
             if (leftNanos < timings.viewLeaseNanos()) {
-                shorter.put(endpoint, leftNanos);
+                shorterLeasesNanos.put(endpoint, leftNanos);
             }
         });
-        reply.setShorterServingLeaseNanos(shorter);
+        reply.setShorterServingLeaseNanos(shorterLeasesNanos);
         reply.setLoads(fleet.loads());
     }
 
--- a/src/main/java/org/wigeongrade/nodes/control/ShareBounds.java
+++ b/src/main/java/org/wigeongrade/nodes/control/ShareLimits.java
@@ -13,45 +13,45 @@
 import org.wigeongrade.nodes.thrift.EndpointRecord;
 
 /**
- * Updates the bounds in the share ledger from the declared set and from the endpoints that may serve.
+ * Updates the limits of the share allocator from the declared set and from the endpoints that may serve.
  *
- * <p>Invariant: an endpoint that announces itself as cold, or that returns with another incarnation or fencing token,
- * is lowered to its cold capacity before any further grant. Used by one thread.
+ * <p>Invariant: if an endpoint announces itself as cold, or returns with another incarnation or fencing token, its
+ * limit is lowered to its cold capacity before any further grant. Used by one thread.
  */
-final class ShareBounds {
+final class ShareLimits {
     private static final long ORGANISATION_LONGEST_RUN_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    private record EndpointRun(long term, long incarnation, long fencingTerm, long fencingSequence) {}
+    private record EndpointIdentity(long term, long incarnation, long fencingTerm, long fencingSequence) {}
 
-    private final Map<String, EndpointRun> lastRuns = new HashMap<>();
+    private final Map<String, EndpointIdentity> lastIdentities = new HashMap<>();
 
     void update(ControlState state, LeaderState leaderState, long nowNanos) {
         final FleetSnapshot fleet = leaderState.snapshot(state, nowNanos);
-        fleet.endpoints().forEach(endpoint -> updateBounds(endpoint, leaderState));
-        state.declaredSet().organisations().forEach(organisation -> updateBounds(organisation, leaderState.shares()));
+        fleet.endpoints().forEach(endpoint -> updateLimits(endpoint, leaderState));
+        state.declaredSet().organisations().forEach(organisation -> updateLimits(organisation, leaderState.shares()));
     }
 
-    private void updateBounds(EndpointRecord endpoint, LeaderState leaderState) {
+    private void updateLimits(EndpointRecord endpoint, LeaderState leaderState) {
         final ShareKey key = ShareKey.endpointSlots(new EndpointId(endpoint.getId()));
-        final ResourceLimit bound = new ResourceLimit(
+        final ResourceLimit limit = new ResourceLimit(
                 endpoint.getCapacity(),
                 endpoint.getColdCapacity(),
                 TimeUnit.MILLISECONDS.toNanos(endpoint.getLongestRunMs()));
-        final WarmupState warmth = endpoint.isCold() ? WarmupState.COLD : WarmupState.WARM;
-        leaderState.shares().setLimit(key, bound, warmth);
-        final EndpointRun run = new EndpointRun(
+        final WarmupState warmupState = endpoint.isCold() ? WarmupState.COLD : WarmupState.WARM;
+        leaderState.shares().setLimit(key, limit, warmupState);
+        final EndpointIdentity identity = new EndpointIdentity(
                 leaderState.term(),
                 endpoint.getIncarnation(),
                 endpoint.getFencingTerm(),
                 endpoint.getFencingSequence());
-        final EndpointRun previousRun = lastRuns.put(endpoint.getId(), run);
-        final boolean sameTerm = previousRun != null && previousRun.term() == run.term();
-        if (endpoint.isCold() || (sameTerm && !previousRun.equals(run))) {
+        final EndpointIdentity previousIdentity = lastIdentities.put(endpoint.getId(), identity);
+        final boolean sameTerm = previousIdentity != null && previousIdentity.term() == identity.term();
+        if (endpoint.isCold() || (sameTerm && !previousIdentity.equals(identity))) {
             leaderState.shares().applyColdSign(key);
         }
     }
 
-    private static void updateBounds(OrganisationDeclaration organisation, ShareAllocator shares) {
+    private static void updateLimits(OrganisationDeclaration organisation, ShareAllocator shares) {
         shares.setLimit(
                 ShareKey.inFlight(organisation.name()),
                 ResourceLimit.of(organisation.requestsInFlight(), ORGANISATION_LONGEST_RUN_NANOS),
--- a/src/main/java/org/wigeongrade/nodes/control/StatusReport.java
+++ b/src/main/java/org/wigeongrade/nodes/control/StatusReport.java
@@ -53,7 +53,7 @@
     }
 
     private static void addNodes(ArrayNode nodes, LeaderState leaderState, long nowNanos) {
-        for (final EntryStatus entry : leaderState.entries()) {
+        for (final EntryStatus entry : leaderState.entryStatuses()) {
             nodes.addObject()
                     .put("name", entry.node().value())
                     .put("availability_zone", entry.zone().value())
--- a/src/main/java/org/wigeongrade/nodes/entry/AnnouncementInbox.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/AnnouncementInbox.java
@@ -7,7 +7,7 @@
 import org.wigeongrade.nodes.thrift.AnnouncementRecord;
 
 /**
- * Collects the announcements received since the last pull, the newest of each VM.
+ * Collects the newest announcement of each VM that was received since the last pull.
  *
  * <p>Invariant: each announcement carries how long after the last pull reply it was received, so that the leader can
  * start its lease, on the leader's own clock, no later than the announcement was received. Announcements received
--- a/src/main/java/org/wigeongrade/nodes/entry/DecisionRecords.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/DecisionRecords.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 
 /**
- * The latest decisions of this VM about requests, from which operators can see the reasons.
+ * The latest decisions of this VM about requests, with their reasons, for operators to inspect.
  *
  * <p>Invariant: holds at most {@link #MAX_RECORDS} records and drops the oldest first. Thread safe: every method locks
  * this object and calls nothing else.
--- a/src/main/java/org/wigeongrade/nodes/entry/ViewPuller.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/ViewPuller.java
@@ -35,7 +35,7 @@
     private static final long RETRY_INTERVAL_MS = 100;
 
     private final EntryRole entry;
-    private final LeaderClient control;
+    private final LeaderClient leaderClient;
     private final EventLog events;
     private final Metrics metrics;
     private final long incarnation;
@@ -54,13 +54,13 @@
     /** {@code incarnation} must be larger than in every earlier run of this process. */
     public ViewPuller(
             EntryRole entry,
-            LeaderClient control,
+            LeaderClient leaderClient,
             EventLog events,
             Metrics metrics,
             long incarnation,
             long intervalMs) {
         this.entry = entry;
-        this.control = control;
+        this.leaderClient = leaderClient;
         this.events = events;
         this.metrics = metrics;
         this.incarnation = incarnation;
@@ -101,12 +101,12 @@
         }
     }
 
-    /** Pulls once. Returns whether the leader answered. */
+    /** Pulls once. Returns whether the leader replied. */
     private boolean pullOnce() {
         final List<AnnouncementRecord> announcements = entry.inbox().drain();
         final PullRequest request = request(announcements);
         final long sentNanos = entry.nowNanos();
-        final Optional<PullReply> reply = control.pull(request);
+        final Optional<PullReply> reply = leaderClient.pull(request);
         if (reply.isEmpty()) {
             entry.inbox().putBack(announcements);
             return false;
@@ -251,7 +251,7 @@
     }
 
     private String leaderName() {
-        return control.leader().map(Object::toString).orElse("unknown");
+        return leaderClient.leader().map(Object::toString).orElse("unknown");
     }
 
     private void await(long waitMs) {
--- a/src/main/java/org/wigeongrade/nodes/log/CoreOutputExecutor.java
+++ b/src/main/java/org/wigeongrade/nodes/log/CoreOutputExecutor.java
@@ -53,7 +53,8 @@
     }
 
     /**
-     * Executes all outputs that the core has now. Then takes a snapshot and seals the last batch, each if it is due.
+     * Executes all outputs that the core has now. Then takes a snapshot if one is due, and seals the last batch if that
+     * is due.
      */
     void run(LongSupplier clock) {
         Outputs outputs = core.drain(clock.getAsLong());
--- a/src/main/java/org/wigeongrade/nodes/log/PeerQueue.java
+++ b/src/main/java/org/wigeongrade/nodes/log/PeerQueue.java
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Waits at most {@code waitMs} for messages and removes a batch of them; returns an empty list if none came in time
-     * or the queue was closed.
+     * Waits at most {@code waitMs} for messages and removes a batch of them; returns an empty list if none arrived in
+     * time or the queue was closed.
      */
     List<LogMessage> take(long waitMs) throws InterruptedException {
         lock.lock();
--- a/src/main/java/org/wigeongrade/nodes/log/PendingCommands.java
+++ b/src/main/java/org/wigeongrade/nodes/log/PendingCommands.java
@@ -10,7 +10,7 @@
 import org.wigeongrade.errors.WigeongradeException;
 
 /**
- * Commands that this replica proposed and whose outcome is not known yet.
+ * The commands that this replica proposed and whose outcome is not known yet.
  *
  * <p>Invariant: each future is completed exactly once, on the executor. Used by the writer thread only.
  */
--- a/src/main/java/org/wigeongrade/nodes/log/RaftReplicatedLog.java
+++ b/src/main/java/org/wigeongrade/nodes/log/RaftReplicatedLog.java
@@ -78,7 +78,7 @@
     private volatile Status status;
     private volatile boolean stopping;
     /**
-     * Set before the writer thread removes the last inputs. A caller that offers a command after that removes it again.
+     * Set before the writer thread removes the last inputs. A caller that queues a command after that removes it again.
      */
     private volatile boolean inputsDrained;
 
--- a/src/main/java/org/wigeongrade/nodes/log/ThriftLogTransport.java
+++ b/src/main/java/org/wigeongrade/nodes/log/ThriftLogTransport.java
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Starts to listen and to accept connections; fails with CONTROL_UNAVAILABLE if it cannot listen on the address.
+     * Starts listening for connections; fails with CONTROL_UNAVAILABLE if it cannot listen on the address.
      */
     public static ThriftLogTransport start(
             NodeName self,
--- a/src/main/java/org/wigeongrade/platform/PlatformCallerCodec.java
+++ b/src/main/java/org/wigeongrade/platform/PlatformCallerCodec.java
@@ -36,9 +36,9 @@
 public final class PlatformCallerCodec implements CallerCodec {
     private static final String READINESS_PATH = "/-/readyz";
     private static final int MS_PER_S = 1_000;
-    /** Idle timeout if the answer states none: such endpoints keep connections for less than a second. */
+    /** Idle timeout if the response states none: such endpoints close idle connections in less than a second. */
     private static final long DEFAULT_IDLE_MS = 250;
-    /** Subtracted from a stated idle timeout, so that a request does not cross the endpoint's close on the network. */
+    /** Subtracted from a stated idle timeout, so that no request is sent while the endpoint closes the connection. */
     private static final long IDLE_MARGIN_MS = 500;
 
     /** Hop-by-hop headers, and the framing headers that each connection sets for itself. */
@@ -54,7 +54,7 @@
             "content-length");
 
     private static final ImmutableSet<String> SYSTEM_HEADERS = ImmutableSet.of(
-            WireHeaders.KEY, WireHeaders.ORGANISATION, WireHeaders.EXPECTED_VM, WireHeaders.DEADLINE_MS);
+            WireHeaders.API_KEY, WireHeaders.ORGANISATION, WireHeaders.EXPECTED_VM, WireHeaders.DEADLINE_MS);
 
     @Override
     public boolean isReadinessCheck(String method, String path) {
@@ -79,7 +79,7 @@
                 request.uri(),
                 query < 0 ? request.uri() : request.uri().substring(0, query),
                 number(headers, WireHeaders.DEADLINE_MS),
-                text(headers, WireHeaders.KEY),
+                text(headers, WireHeaders.API_KEY),
                 text(headers, WireHeaders.MODEL),
                 promptTokens(headers),
                 number(headers, WireHeaders.LAST_EVENT_ID),
@@ -88,17 +88,17 @@
     }
 
     @Override
-    public FullHttpRequest encode(CallerRequest request, ForwardingMetadata terms, String address) {
+    public FullHttpRequest encode(CallerRequest request, ForwardingMetadata metadata, String address) {
         final ByteBuf body = Unpooled.wrappedBuffer(request.body().array());
         final FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, HttpMethod.valueOf(request.method()), request.target(), body);
         message.headers()
                 .set(request.headers())
-                .set(WireHeaders.DEADLINE_MS, terms.remainingMs())
-                .set(WireHeaders.EXPECTED_VM, terms.vm().value());
-        terms.organisation()
+                .set(WireHeaders.DEADLINE_MS, metadata.remainingMs())
+                .set(WireHeaders.EXPECTED_VM, metadata.vm().value());
+        metadata.organisation()
                 .ifPresent(organisation -> message.headers().set(WireHeaders.ORGANISATION, organisation.value()));
-        terms.resumeAfter().ifPresent(eventId -> message.headers().set(WireHeaders.LAST_EVENT_ID, eventId));
+        metadata.resumeAfter().ifPresent(eventId -> message.headers().set(WireHeaders.LAST_EVENT_ID, eventId));
         if (request.body().sizeBytes() > 0 || request.method().equals("POST")) {
             message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body().sizeBytes());
         }
@@ -131,7 +131,7 @@
                 : reply;
     }
 
-    /** Statuses that have a fixed meaning on the platform, whatever else the answer contains. */
+    /** Statuses that have a fixed meaning on the platform, whatever else the response contains. */
     private static final class PlatformStatus {
         static final int MISDIRECTED = 421;
     }
--- a/src/main/java/org/wigeongrade/platform/PlatformOrderCodec.java
+++ b/src/main/java/org/wigeongrade/platform/PlatformOrderCodec.java
@@ -14,7 +14,7 @@
 import org.wigeongrade.fleet.net.OneShotHttpClient;
 import org.wigeongrade.ids.VmName;
 
-/** Encodes orders to engine VMs and decodes their answers. Stateless; safe for use from any thread. */
+/** Encodes orders to engine VMs and decodes the responses. Stateless; safe for use from any thread. */
 public final class PlatformOrderCodec implements OrderCodec {
     private static final String ORDER_PATH = "/-/order";
     private static final String REPORT_PATH = "/-/report";
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public OrderAnswer decode(GroupOrder order, OneShotHttpClient.Response answer) {
-        return switch (answer.status()) {
+    public OrderAnswer decode(GroupOrder order, OneShotHttpClient.Response response) {
+        return switch (response.status()) {
             case OK -> OrderAnswer.DONE;
             case ACCEPTED -> OrderAnswer.BEGUN;
             case MISDIRECTED -> OrderAnswer.ENDED;
--- a/src/main/java/org/wigeongrade/platform/WireHeaders.java
+++ b/src/main/java/org/wigeongrade/platform/WireHeaders.java
@@ -9,7 +9,7 @@
     static final String DEADLINE_MS = "x-deadline-ms";
 
     /** API key of an organisation; never forwarded. */
-    static final String KEY = "x-credential";
+    static final String API_KEY = "x-credential";
 
     /** Organisation that owns the API key; set only by this system. */
     static final String ORGANISATION = "x-tenant";
@@ -17,7 +17,7 @@
     /** The only VM that may run the request. */
     static final String EXPECTED_VM = "x-expect-instance";
 
-    /** Signature of an endpoint's answer. */
+    /** Signature of an endpoint's response. */
     static final String SIGNATURE = "x-server-seal";
 
     /** Present if the endpoint did not run the request. */
@@ -28,11 +28,11 @@
 
     static final String MODEL = "x-model";
 
-    /** Number of prompt tokens and maximum number of answer tokens, separated by a comma. */
+    /** Number of prompt tokens and maximum number of output tokens, separated by a comma. */
     static final String TOKENS = "x-token-count";
 
-    /** Estimated number of answer tokens. */
-    static final String ANSWER_ESTIMATE = "x-length-hint";
+    /** Estimated number of output tokens. */
+    static final String OUTPUT_TOKEN_ESTIMATE = "x-length-hint";
 
     /** Id of the last stream event that the client received. */
     static final String LAST_EVENT_ID = "last-event-id";
--- a/src/test/java/org/wigeongrade/platform/FleetOnLoopbackTest.java
+++ b/src/test/java/org/wigeongrade/platform/FleetOnLoopbackTest.java
@@ -89,13 +89,13 @@
     }
 
     @Test
-    void endpointAnswerIsForwardedUnchanged() {
-        final HttpResponse<String> answer = call("POST", "/app/order?x=1", "key-1");
+    void endpointResponseIsForwardedUnchanged() {
+        final HttpResponse<String> response = call("POST", "/app/order?x=1", "key-1");
 
-        assertThat(answer.statusCode()).isEqualTo(200);
-        assertThat(answer.body()).isEqualTo("POST /app/order?x=1 tenant=shop body=hello");
-        assertThat(answer.headers().firstValue("X-Server-Seal")).hasValue("sealed");
-        assertThat(answer.headers().firstValue("X-Attempt-Id")).hasValue("attempt-1");
+        assertThat(response.statusCode()).isEqualTo(200);
+        assertThat(response.body()).isEqualTo("POST /app/order?x=1 tenant=shop body=hello");
+        assertThat(response.headers().firstValue("X-Server-Seal")).hasValue("sealed");
+        assertThat(response.headers().firstValue("X-Attempt-Id")).hasValue("attempt-1");
     }
 
     @ParameterizedTest
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void nonIdempotentRequestRunsOnceWhenItsAnswerIsLost() {
+    void nonIdempotentRequestRunsOnceWhenItsResponseIsLost() {
         assertThat(call("POST", "/app/lose", "key-1").statusCode()).isEqualTo(502);
         assertThat(runs.get()).isEqualTo(1);
     }
--- a/src/test/java/org/wigeongrade/platform/PlatformCallerCodecTest.java
+++ b/src/test/java/org/wigeongrade/platform/PlatformCallerCodecTest.java
@@ -25,14 +25,14 @@
 import org.wigeongrade.ids.VmName;
 
 final class PlatformCallerCodecTest {
-    private static final ForwardingMetadata TERMS = new ForwardingMetadata(
+    private static final ForwardingMetadata METADATA = new ForwardingMetadata(
             750, VmName.of("i-1"), Optional.of(OrganisationName.of("shop")), OptionalLong.empty());
-    private final PlatformCallerCodec messages = new PlatformCallerCodec();
+    private final PlatformCallerCodec codec = new PlatformCallerCodec();
 
     @Test
     void forwardsRequestWithOnlySystemHeadersChanged() {
-        final CallerRequest request = messages.decode(message());
-        final FullHttpRequest forwarded = messages.encode(request, TERMS, "10.0.0.1:80");
+        final CallerRequest request = codec.decode(message());
+        final FullHttpRequest forwarded = codec.encode(request, METADATA, "10.0.0.1:80");
 
         assertThat(forwarded.method()).isEqualTo(HttpMethod.POST);
         assertThat(forwarded.uri()).isEqualTo("/chat/1?q=%20x");
@@ -50,7 +50,7 @@
 
     @Test
     void decodesRequestFields() {
-        final CallerRequest request = messages.decode(message());
+        final CallerRequest request = codec.decode(message());
 
         assertThat(request.hostname()).isEqualTo("desk.example");
         assertThat(request.path()).isEqualTo("/chat/1");
@@ -63,7 +63,7 @@
     void resumedRequestCarriesLastForwardedEventId() {
         final ForwardingMetadata resumed =
                 new ForwardingMetadata(750, VmName.of("i-1"), Optional.empty(), OptionalLong.of(7));
-        final FullHttpRequest forwarded = messages.encode(messages.decode(message()), resumed, "10.0.0.1:80");
+        final FullHttpRequest forwarded = codec.encode(codec.decode(message()), resumed, "10.0.0.1:80");
 
         assertThat(forwarded.headers().getAll("Last-Event-Id")).containsExactly("7");
         assertThat(forwarded.headers().contains("X-Tenant")).isFalse();
@@ -71,7 +71,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // status, header, value, not run, signed, encoded, reusable for
+        // status, header, value, not run, signed, encoded, reusable for (ms)
         "200, X-Server-Seal, s, false, true, false, 250",
         "503, X-Not-Executed, 1, true, false, false, 250",
         "421, X-Instance-Id, i-9, true, false, false, 250",
@@ -84,7 +84,7 @@
             int status, String header, String value, boolean notRun, boolean signed, boolean encoded, long reusableMs) {
         final HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
         response.headers().set(header, value);
-        final ResponseHead head = messages.decode(response);
+        final ResponseHead head = codec.decode(response);
 
         assertThat(head.notRun()).isEqualTo(notRun);
         assertThat(head.signed()).isEqualTo(signed);
@@ -94,7 +94,7 @@
 
     @Test
     void errorResponseCarriesRetryAfter() {
-        final HttpReply reply = messages.error(messages.decode(message()), ErrorKind.NO_FREE_SLOT, "busy", 150);
+        final HttpReply reply = codec.error(codec.decode(message()), ErrorKind.NO_FREE_SLOT, "busy", 150);
 
         assertThat(reply.status()).isEqualTo(503);
         assertThat(reply.headers()).containsEntry("retry-after", "0.150");
--- a/src/test/java/org/wigeongrade/platform/soak/ControlClient.java
+++ b/src/test/java/org/wigeongrade/platform/soak/ControlClient.java
@@ -20,24 +20,24 @@
     }
 
     /** Calls a random control VM and follows one redirect; empty after a failure, a second redirect or a 5xx status. */
-    Optional<HttpConnection.Answer> call(String method, String path, String body) {
+    Optional<HttpConnection.Response> call(String method, String path, String body) {
         final InetSocketAddress first = controls.get(ThreadLocalRandom.current().nextInt(controls.size()));
-        final Optional<HttpConnection.Answer> answer = callAt(first, method, path, body);
+        final Optional<HttpConnection.Response> firstResponse = callAt(first, method, path, body);
         final boolean redirected =
-                answer.filter(response -> response.status() == REDIRECT).isPresent();
-        final Optional<HttpConnection.Answer> last =
-                redirected ? callAt(target(answer.orElseThrow()), method, path, body) : answer;
-        return last.filter(response -> response.status() < FIRST_SERVER_ERROR && response.status() != REDIRECT);
+                firstResponse.filter(response -> response.status() == REDIRECT).isPresent();
+        final Optional<HttpConnection.Response> lastResponse =
+                redirected ? callAt(target(firstResponse.orElseThrow()), method, path, body) : firstResponse;
+        return lastResponse.filter(response -> response.status() < FIRST_SERVER_ERROR && response.status() != REDIRECT);
     }
 
-    private static InetSocketAddress target(HttpConnection.Answer redirect) {
+    private static InetSocketAddress target(HttpConnection.Response redirect) {
         final String location = redirect.headers().get("location").replaceFirst("http://", "");
         final String authority = location.substring(0, location.indexOf('/'));
         final int colon = authority.indexOf(':');
         return SoakAddresses.address(authority.substring(0, colon), Integer.parseInt(authority.substring(colon + 1)));
     }
 
-    private static Optional<HttpConnection.Answer> callAt(
+    private static Optional<HttpConnection.Response> callAt(
             InetSocketAddress control, String method, String path, String body) {
         try (HttpConnection connection = new HttpConnection(control, READ_TIMEOUT_MS)) {
             final Map<String, String> headers = Map.of("Host", "control", "Content-Type", "application/json");
--- a/src/test/java/org/wigeongrade/platform/soak/FakeEndpointVm.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FakeEndpointVm.java
@@ -41,8 +41,8 @@
     private volatile boolean draining;
     private volatile boolean unresponsive;
     private volatile boolean closed;
-    /** Fraction of requests whose answer is dropped after they ran. */
-    private volatile double lostAnswerRatio;
+    /** Fraction of requests whose response is dropped after they ran. */
+    private volatile double lostResponseRatio;
 
     FakeEndpointVm(String name, String service, int port, FakeEndpointFleet fleet, Optional<String> domain) {
         this.name = name;
@@ -67,11 +67,11 @@
         return running;
     }
 
-    void loseAnswers(double ratio) {
-        lostAnswerRatio = ratio;
+    void loseResponses(double ratio) {
+        lostResponseRatio = ratio;
     }
 
-    /** Sets whether this VM stops answering requests and sending heartbeats. */
+    /** Sets whether this VM stops responding to requests and sending heartbeats. */
     void setUnresponsive(boolean isUnresponsive) {
         unresponsive = isUnresponsive;
     }
@@ -150,19 +150,19 @@
         final var unused = fleet.control().call("POST", "/-/instances/" + name + "/heartbeat", body);
     }
 
-    /** Serves a request; an exception closes the connection without the terminator of a complete answer. */
+    /** Serves a request; an exception closes the connection without the terminator of a complete response. */
     private void serve(HttpExchange exchange) throws IOException {
         while (unresponsive) {
             Await.sleepMs(20);
         }
         final String expected = exchange.getRequestHeaders().getFirst("X-Expect-Instance");
         if (expected != null && !expected.equals(name)) {
-            answer(exchange, MISDIRECTED, "");
+            respond(exchange, MISDIRECTED, "");
         } else if (exchange.getRequestURI().getPath().equals("/-/report")) {
-            answer(exchange, 200, "{}");
+            respond(exchange, 200, "{}");
         } else if (exchange.getRequestURI().getPath().equals("/-/order")) {
             final byte[] order = exchange.getRequestBody().readAllBytes();
-            answer(exchange, engine.orElseThrow().carryOut(order), "");
+            respond(exchange, engine.orElseThrow().execute(order), "");
         } else {
             run(exchange);
         }
@@ -175,20 +175,20 @@
         exchange.getResponseHeaders().set("X-Attempt-Id", attemptId);
         if (engine.isPresent() && !engine.get().awaitAdmission()) {
             exchange.getResponseHeaders().set("X-Not-Executed", "1");
-            answer(exchange, engine.get().isHead() ? NOT_RUN_STATUS : MISDIRECTED, "");
+            respond(exchange, engine.get().isHead() ? NOT_RUN_STATUS : MISDIRECTED, "");
             return;
         }
         fleet.guarantees().recordRun(attemptId, !path.startsWith("/charge/"));
         fleet.checkRun(path, service, exchange.getRequestHeaders().getFirst("X-Tenant"), attemptId);
-        if (ThreadLocalRandom.current().nextDouble() < lostAnswerRatio) {
-            throw new IOException("injected loss of the answer");
+        if (ThreadLocalRandom.current().nextDouble() < lostResponseRatio) {
+            throw new IOException("injected loss of the response");
         }
         exchange.getResponseHeaders().set("X-Server-Seal", "seal-" + attemptId);
         if (engine.isPresent()) {
             stream(exchange, engine.get());
         } else {
             Await.sleepMs(ThreadLocalRandom.current().nextInt(MAX_WORK_MS));
-            answer(exchange, 200, "ran " + attemptId + " " + path + " " + body);
+            respond(exchange, 200, "ran " + attemptId + " " + path + " " + body);
         }
     }
 
@@ -221,7 +221,7 @@
         return events.toString();
     }
 
-    private static void answer(HttpExchange exchange, int status, String body) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String body) throws IOException {
         final byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
         exchange.getResponseBody().write(bytes);
--- a/src/test/java/org/wigeongrade/platform/soak/FakeEngine.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FakeEngine.java
@@ -122,8 +122,8 @@
         }
     }
 
-    /** Carries out an order and returns the HTTP status of the answer. */
-    int carryOut(byte[] body) throws IOException {
+    /** Executes an order and returns the HTTP status of the response. */
+    int execute(byte[] body) throws IOException {
         final JsonNode order = JSON.readTree(body);
         applyDueTransition();
         if (order.path("operation").asText().equals("join")) {
--- a/src/test/java/org/wigeongrade/platform/soak/FaultInjector.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FaultInjector.java
@@ -75,7 +75,7 @@
             case 9 -> start("make unresponsive " + vm.name(), () -> makeUnresponsive(vm, forMs));
             case 10 -> start("leave " + vm.name(), () -> leave(vm, forMs));
             case 11 -> start("fill the disk of control " + control, () -> nodes.fillDisk(control, forMs));
-            default -> start("lose answers of " + vm.name(), () -> loseAnswers(vm, forMs));
+            default -> start("lose responses of " + vm.name(), () -> loseResponses(vm, forMs));
         }
     }
 
@@ -110,10 +110,10 @@
         vm.restart();
     }
 
-    private static void loseAnswers(FakeEndpointVm vm, long forMs) {
-        vm.loseAnswers(0.3);
+    private static void loseResponses(FakeEndpointVm vm, long forMs) {
+        vm.loseResponses(0.3);
         Await.sleepMs(forMs);
-        vm.loseAnswers(0);
+        vm.loseResponses(0);
     }
 
     private void start(String description, Runnable fault) {
--- a/src/test/java/org/wigeongrade/platform/soak/FleetSoakTest.java
+++ b/src/test/java/org/wigeongrade/platform/soak/FleetSoakTest.java
@@ -77,11 +77,11 @@
         endpoints.start();
         final AtomicBoolean stopped = new AtomicBoolean();
         final List<Thread> clients = startClients(seed, addresses, guarantees, operator, stopped);
-        awaitAnswers(guarantees, "requests served after the start", START_TIMEOUT_MS);
+        awaitResponses(guarantees, "requests served after the start", START_TIMEOUT_MS);
         final Thread publishing = start("operator", () -> operator.run(new Random(seed + 1), forMs));
         faults.run(forMs);
         publishing.join();
-        awaitAnswers(guarantees, "requests served again after the faults " + faults.injected(), RECOVERY_TIMEOUT_MS);
+        awaitResponses(guarantees, "requests served again after the faults " + faults.injected(), RECOVERY_TIMEOUT_MS);
         Await.until(
                 "the accepted configuration is read back",
                 RECOVERY_TIMEOUT_MS,
@@ -116,10 +116,10 @@
         return thread;
     }
 
-    /** Waits for twenty more successful answers. */
-    private static void awaitAnswers(GuaranteeChecker guarantees, String what, long timeoutMs) {
-        final int before = guarantees.answerCount(200);
-        Await.until(what + "; " + guarantees, timeoutMs, () -> guarantees.answerCount(200) >= before + 20);
+    /** Waits for twenty more successful responses. */
+    private static void awaitResponses(GuaranteeChecker guarantees, String what, long timeoutMs) {
+        final int before = guarantees.responseCount(200);
+        Await.until(what + "; " + guarantees, timeoutMs, () -> guarantees.responseCount(200) >= before + 20);
     }
 
     private static void report(long seed, GuaranteeChecker guarantees, FaultInjector faults, SoakNodes nodes)
--- a/src/test/java/org/wigeongrade/platform/soak/GuaranteeChecker.java
+++ b/src/test/java/org/wigeongrade/platform/soak/GuaranteeChecker.java
@@ -17,8 +17,8 @@
     private final Map<String, Integer> refusalStatuses = new ConcurrentHashMap<>();
     private final Map<String, Long> sentNanos = new ConcurrentHashMap<>();
     private final List<String> violations = new CopyOnWriteArrayList<>();
-    private final Map<Integer, AtomicInteger> answersByStatus = new ConcurrentHashMap<>();
-    private final AtomicInteger incompleteAnswers = new AtomicInteger();
+    private final Map<Integer, AtomicInteger> responsesByStatus = new ConcurrentHashMap<>();
+    private final AtomicInteger incompleteResponses = new AtomicInteger();
 
     void reportViolation(String guarantee, String details) {
         violations.add(guarantee + ": " + details);
@@ -50,40 +50,41 @@
         }
     }
 
-    /** Records a complete answer that a client received. */
-    void recordAnswer(String attempt, HttpConnection.Answer answer, boolean idempotent) {
-        answersByStatus
-                .computeIfAbsent(answer.status(), unused -> new AtomicInteger())
+    /** Records a complete response that a client received. */
+    void recordResponse(String attempt, HttpConnection.Response response, boolean idempotent) {
+        responsesByStatus
+                .computeIfAbsent(response.status(), unused -> new AtomicInteger())
                 .incrementAndGet();
-        if (!idempotent && NOT_RUN_STATUSES.contains(answer.status())) {
-            refusalStatuses.put(attempt, answer.status());
+        if (!idempotent && NOT_RUN_STATUSES.contains(response.status())) {
+            refusalStatuses.put(attempt, response.status());
             if (runs.containsKey(attempt)) {
                 reportViolation(
-                        "a refused request never runs", attempt + " was refused with " + answer.status() + " and ran");
+                        "a refused request never runs",
+                        attempt + " was refused with " + response.status() + " and ran");
             }
         }
-        final String echoedAttempt = answer.headers().get("x-attempt-id");
+        final String echoedAttempt = response.headers().get("x-attempt-id");
         if (echoedAttempt != null && !echoedAttempt.equals(attempt)) {
-            reportViolation("each answer belongs to its request", attempt + " got the answer to " + echoedAttempt);
+            reportViolation("each response belongs to its request", attempt + " got the response to " + echoedAttempt);
         }
     }
 
-    /** Records that a client did not receive a complete answer. */
-    void recordIncompleteAnswer() {
-        incompleteAnswers.incrementAndGet();
+    /** Records that a client did not receive a complete response. */
+    void recordIncompleteResponse() {
+        incompleteResponses.incrementAndGet();
     }
 
     List<String> violations() {
         return List.copyOf(violations);
     }
 
-    int answerCount(int status) {
-        return answersByStatus.getOrDefault(status, new AtomicInteger()).get();
+    int responseCount(int status) {
+        return responsesByStatus.getOrDefault(status, new AtomicInteger()).get();
     }
 
     @Override
     public String toString() {
-        return "answers by status " + answersByStatus + ", incomplete answers " + incompleteAnswers + ", runs "
+        return "responses by status " + responsesByStatus + ", incomplete responses " + incompleteResponses + ", runs "
                 + runs.size();
     }
 }
--- a/src/test/java/org/wigeongrade/platform/soak/HttpConnection.java
+++ b/src/test/java/org/wigeongrade/platform/soak/HttpConnection.java
@@ -15,7 +15,7 @@
 /**
  * A client's HTTP/1.1 connection that never resends a request.
  *
- * <p>Invariant: a truncated answer causes an {@link IOException}. Not thread safe.
+ * <p>Invariant: a truncated response causes an {@link IOException}. Not thread safe.
  */
 final class HttpConnection implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -25,8 +25,8 @@
     private final InputStream input;
     private boolean open = true;
 
-    /** A complete answer. */
-    record Answer(int status, Map<String, String> headers, String body) {}
+    /** A complete response. */
+    record Response(int status, Map<String, String> headers, String body) {}
 
     HttpConnection(InetSocketAddress address, int readTimeoutMs) throws IOException {
         socket.connect(address, CONNECT_TIMEOUT_MS);
@@ -40,8 +40,8 @@
         return open;
     }
 
-    /** Sends a request with a body and returns the complete answer. */
-    Answer call(String method, String target, Map<String, String> headers, String body) throws IOException {
+    /** Sends a request with a body and returns the complete response. */
+    Response call(String method, String target, Map<String, String> headers, String body) throws IOException {
         open = false;
         final StringBuilder head =
                 new StringBuilder(method).append(' ').append(target).append(" HTTP/1.1\r\n");
@@ -53,10 +53,10 @@
         message.writeBytes(head.toString().getBytes(StandardCharsets.US_ASCII));
         message.writeBytes(content);
         socket.getOutputStream().write(message.toByteArray());
-        return readAnswer();
+        return readResponse();
     }
 
-    private Answer readAnswer() throws IOException {
+    private Response readResponse() throws IOException {
         final String[] statusLine = readLine().split(" ", 3);
         final Map<String, String> headers = new HashMap<>();
         for (String line = readLine(); !line.isEmpty(); line = readLine()) {
@@ -67,7 +67,7 @@
         }
         final String body = new String(readBody(headers), StandardCharsets.UTF_8);
         open = !"close".equalsIgnoreCase(headers.get("connection"));
-        return new Answer(Integer.parseInt(statusLine[1]), headers, body);
+        return new Response(Integer.parseInt(statusLine[1]), headers, body);
     }
 
     private byte[] readBody(Map<String, String> headers) throws IOException {
@@ -88,7 +88,7 @@
     private byte[] readExactly(int size) throws IOException {
         final byte[] bytes = input.readNBytes(size);
         if (bytes.length < size) {
-            throw new EOFException("the answer ended after " + bytes.length + " of " + size + " bytes");
+            throw new EOFException("the response ended after " + bytes.length + " of " + size + " bytes");
         }
         return bytes;
     }
@@ -97,7 +97,7 @@
         final ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next = input.read(); next != '\n'; next = input.read()) {
             if (next < 0) {
-                throw new EOFException("the connection closed within an answer");
+                throw new EOFException("the connection closed within a response");
             }
             if (next != '\r') {
                 line.write(next);
--- a/src/test/java/org/wigeongrade/platform/soak/SoakClient.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakClient.java
@@ -50,7 +50,7 @@
                     Await.sleepMs(random.nextInt(30));
                 }
             } catch (IOException e) {
-                guarantees.recordIncompleteAnswer();
+                guarantees.recordIncompleteResponse();
                 Await.sleepMs(50);
             }
         }
@@ -80,27 +80,27 @@
             headers.put("X-Prompt-Prefix", "ab:100");
         }
         guarantees.recordSent(attempt);
-        final HttpConnection.Answer answer = connection.call("POST", "/" + kind + "/" + attempt, headers, attempt);
-        guarantees.recordAnswer(attempt, answer, !kind.equals("charge"));
-        check(attempt, kind, asGuest, answer);
+        final HttpConnection.Response response = connection.call("POST", "/" + kind + "/" + attempt, headers, attempt);
+        guarantees.recordResponse(attempt, response, !kind.equals("charge"));
+        check(attempt, kind, asGuest, response);
     }
 
-    private void check(String attempt, String kind, boolean asGuest, HttpConnection.Answer answer) {
-        if (answer.status() == OK) {
+    private void check(String attempt, String kind, boolean asGuest, HttpConnection.Response response) {
+        if (response.status() == OK) {
             final String expected = kind.equals("gen")
                     ? FakeEndpointVm.expectedStream()
                     : "ran " + attempt + " /" + kind + "/" + attempt + " " + attempt;
-            if (!answer.body().equals(expected)) {
-                guarantees.reportViolation("each answer is complete", attempt + " got: " + answer.body());
+            if (!response.body().equals(expected)) {
+                guarantees.reportViolation("each response is complete", attempt + " got: " + response.body());
             }
-            if (!("seal-" + attempt).equals(answer.headers().get("x-server-seal"))) {
-                guarantees.reportViolation("an answer keeps its signature", attempt + " got " + answer.headers());
+            if (!("seal-" + attempt).equals(response.headers().get("x-server-seal"))) {
+                guarantees.reportViolation("a response keeps its signature", attempt + " got " + response.headers());
             }
         }
-        final boolean denied = answer.status() == 401 || answer.status() == 403 || answer.status() == 404;
+        final boolean denied = response.status() == 401 || response.status() == 403 || response.status() == 404;
         if (denied && !(asGuest && operator.isRevocationSent())) {
             guarantees.reportViolation(
-                    "an allowed request is not denied", attempt + " /" + kind + "/ got " + answer.status());
+                    "an allowed request is not denied", attempt + " /" + kind + "/ got " + response.status());
         }
     }
 }
--- a/src/test/java/org/wigeongrade/platform/soak/SoakOperator.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakOperator.java
@@ -40,13 +40,13 @@
         final String document = document(version, withGuest);
         final long deadlineNanos = System.nanoTime() + timeoutMs * 1_000_000;
         while (System.nanoTime() - deadlineNanos < 0) {
-            final Optional<HttpConnection.Answer> answer = control.call("POST", "/-/configuration/replace", document);
-            if (answer.filter(response -> response.status() == ACCEPTED).isPresent()) {
+            final Optional<HttpConnection.Response> result = control.call("POST", "/-/configuration/replace", document);
+            if (result.filter(response -> response.status() == ACCEPTED).isPresent()) {
                 recordAccepted(version, withGuest);
                 return true;
             }
-            answer.ifPresent(response -> guarantees.reportViolation(
-                    "a valid change is accepted", "version " + version + " was answered " + response.status()));
+            result.ifPresent(response -> guarantees.reportViolation(
+                    "a valid change is accepted", "version " + version + " got status " + response.status()));
             Await.sleepMs(100);
         }
         return false;
@@ -57,8 +57,8 @@
         final String invalid =
                 document(lastSentVersion + 1, true).replace("\"service\":\"pool\"", "\"service\":\"nowhere\"");
         control.call("POST", "/-/configuration/replace", invalid)
-                .filter(answer -> answer.status() == ACCEPTED)
-                .ifPresent(answer -> guarantees.reportViolation("an invalid change is refused", "it was accepted"));
+                .filter(response -> response.status() == ACCEPTED)
+                .ifPresent(response -> guarantees.reportViolation("an invalid change is refused", "it was accepted"));
     }
 
     private void recordAccepted(long version, boolean withGuest) {
@@ -87,8 +87,8 @@
     Optional<Long> read() {
         final long oldestAllowed = System.nanoTime() - lastAcceptedNanos > APPLY_MS * 1_000_000 ? acceptedVersion() : 0;
         final Optional<Long> version = control.call("GET", "/-/configuration/read", "")
-                .filter(answer -> answer.status() == ACCEPTED)
-                .map(answer -> VERSION.matcher(answer.body()))
+                .filter(response -> response.status() == ACCEPTED)
+                .map(response -> VERSION.matcher(response.body()))
                 .filter(Matcher::find)
                 .map(matched -> Long.parseLong(matched.group(1)));
         version.filter(matched -> matched < oldestAllowed)
