--- a/src/main/java/org/wigeongrade/decisions/balancing/Balancer.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/Balancer.java
@@ -9,7 +9,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Places each request on the endpoint with the lowest cost, which is mainly the predicted time to the answer.
+ * Places each request on the endpoint with the lowest cost, which is mainly the predicted time to the response.
  *
  * <p>Endpoints that recently failed, are suspect or are stalled are used only if there is no other one. Stateless
  * except for the random number generator; not thread safe.
@@ -25,30 +25,33 @@
      */
     private static final int EXPECTED_SILENT_PASSES = 2;
     /**
-     * Cost of each millisecond of silence beyond the expected time; a request sent there waits at least as long again.
+     * Cost of each millisecond for which an endpoint has been silent beyond the expected time; a request sent there
+     * waits at least as long again.
      */
     private static final double EXCESS_SILENCE_WEIGHT = 2;
-    /** Cost of another availability zone, in milliseconds: the round trip and the price of the traffic. */
+    /**
+     * Cost of an endpoint in another availability zone, in milliseconds: the round trip and the price of the traffic.
+     */
     private static final double CROSS_ZONE_COST_MS = 4;
     /** Cost of each millisecond by which the predicted pause exceeds the target. */
     private static final double EXCESS_PAUSE_WEIGHT = 4;
     /** Cost of an endpoint that fails all of its requests, in milliseconds. */
     private static final double FAILURE_COST_MS = 2_000;
     /**
-     * Maximum predicted time to the first event as a multiple of the target; a later answer is worth little and delays
-     * others.
+     * Maximum predicted time to the first event as a multiple of the target; a later response is worth little and
+     * delays others.
      */
     private static final double MAX_LATENCY_FACTOR = 1.05;
-    /** Slowness from which on an endpoint counts as slow; almost no answer is on time there. */
+    /** Slowness at and above which an endpoint counts as slow; almost none of its responses are on time. */
     private static final double SLOW_ENDPOINT_FACTOR = 1.8;
     /**
-     * Maximum predicted time at a slow endpoint as a multiple of the target; a late answer there delays none that could
-     * be on time.
+     * Maximum predicted time at a slow endpoint as a multiple of the target; a late response there does not delay
+     * responses that could be on time.
      */
     private static final double MAX_LATENCY_FACTOR_AT_SLOW = 2.5;
     /**
-     * Number of entry nodes up to which each compares all endpoints: between two views, that many send each endpoint
-     * less than one request.
+     * Maximum number of entry nodes for which each node compares all endpoints: together, so few nodes send each
+     * endpoint less than one request between two updates of their view.
      */
     private static final int MAX_NODES_COMPARING_ALL = 10;
     /** Minimum number of endpoints to compare; comparing two already avoids most of the imbalance. */
@@ -59,16 +62,17 @@
      */
     private static final double COST_JITTER = 0.15;
     /**
-     * Assumed time to the answer of an idle plain endpoint, in milliseconds; the endpoint's moving average corrects it.
+     * Assumed time to the response of an idle plain endpoint, in milliseconds; the endpoint's moving average corrects
+     * it.
      */
     private static final double PLAIN_ANSWER_MS = 40;
     /** Maximum time until a refused caller should retry, in milliseconds; a lost group is formed again within it. */
     private static final long MAX_RETRY_AFTER_MS = 2_000;
-    /** Maximum ratio of a caller's remaining time that it should wait before it retries. */
-    private static final double MAX_RETRY_RATIO_OF_REMAINING = 1.0 / 3;
+    /** Maximum fraction of a caller's remaining time that it should wait before it retries. */
+    private static final double MAX_RETRY_FRACTION_OF_REMAINING = 1.0 / 3;
     /**
-     * Callers that are refused together are spread over this last part of the wait, as a ratio, so that there is
-     * capacity for them.
+     * Fraction of the wait, at its end, over which the retries of callers that are refused together are spread, so that
+     * there is capacity for them.
      */
     private static final double RETRY_JITTER = 0.5;
 
@@ -196,7 +200,7 @@
                 + FAILURE_COST_MS * endpoint.failureRate();
     }
 
-    /** Returns by how much a group with running streams has been silent for longer than expected, in milliseconds. */
+    /** Returns for how much longer than expected a group with running streams has been silent, in milliseconds. */
     private static double excessSilenceMs(EndpointLoad endpoint, EngineLatencyModel model, long nowNanos) {
         if (endpoint.runningStreams() == 0) {
             return 0;
@@ -220,12 +224,12 @@
     }
 
     /**
-     * Returns after how many milliseconds a refused caller should retry. Its answer will be late in any case and
+     * Returns after how many milliseconds a refused caller should retry. Its response will be late in any case and
      * callers retry only once, so the delay is as long as they are willing to wait: by then, lost groups may have been
      * formed again or the load peak may be over.
      */
     private long retryAfterMs(PlacementRequest request) {
-        final double maxMs = Math.min(MAX_RETRY_AFTER_MS, MAX_RETRY_RATIO_OF_REMAINING * request.remainingMs());
+        final double maxMs = Math.min(MAX_RETRY_AFTER_MS, MAX_RETRY_FRACTION_OF_REMAINING * request.remainingMs());
         return Math.round(maxMs * (1 - RETRY_JITTER * random.nextDouble()));
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/balancing/EndpointLoad.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/EndpointLoad.java
@@ -15,7 +15,7 @@
  * <p>Time is a parameter, on the monotonic clock. Not thread safe.
  */
 public final class EndpointLoad {
-    /** Weight of the newest observation in a moving average; about the last 12 answers count. */
+    /** Weight of the newest observation in a moving average; about the last 12 responses count. */
     private static final double NEWEST_WEIGHT = 0.15;
     /** Time for which a failed endpoint is avoided; doubled for each further consecutive failure. */
     private static final long AVOID_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
@@ -117,15 +117,17 @@
     }
 
     /**
-     * Sets the number of requests that other entry nodes have in flight at the endpoint, and the prompt tokens of these
-     * that wait for prefill.
+     * Sets the number of requests that other entry nodes have in flight at the endpoint, and the prompt tokens of those
+     * requests that wait for prefill.
      */
     public void setLoadFromOtherNodes(int requests, int promptTokens) {
         inFlightElsewhere = requests;
         pendingPromptTokensElsewhere = promptTokens;
     }
 
-    /** Returns the factor by which the group's position in the fabric multiplies its latencies; 1 if it has none. */
+    /**
+     * Returns the factor by which the group's position in the fabric multiplies its latencies; 1 if it has no effect.
+     */
     public double paceFactor() {
         return paceFactor;
     }
@@ -191,19 +193,19 @@
         lastActiveNanos = nowNanos;
     }
 
-    /** Records that bytes of an answer have arrived. */
+    /** Records that bytes of a response have arrived. */
     public void recordProgress(long nowNanos) {
         lastProgressNanos = nowNanos;
         progressedSinceReport = true;
     }
 
-    /** Updates the slowness by the measured and the predicted time of an answer or event. */
+    /** Updates the slowness from the measured and the predicted time of a response or event. */
     public void recordLatency(double tookMs, double predictedMs) {
         final double ratio = Math.max(0.5, Math.min(20, tookMs / Math.max(1, predictedMs)));
         slowness += NEWEST_WEIGHT * (ratio - slowness);
     }
 
-    /** Records that an answer is complete; the endpoint is no longer avoided. */
+    /** Records that a response is complete; the endpoint is no longer avoided. */
     public void recordSuccess() {
         failureRate -= NEWEST_WEIGHT * failureRate;
         consecutiveFailures = 0;
@@ -239,7 +241,7 @@
         return slowness;
     }
 
-    /** Returns the time since the last bytes of an answer arrived; 0 if this node has no requests in flight. */
+    /** Returns the time since the last bytes of a response arrived; 0 if this node has no requests in flight. */
     public long stalledNanos(long nowNanos) {
         return inFlight == 0 ? 0 : nowNanos - lastProgressNanos;
     }
--- a/src/main/java/org/wigeongrade/decisions/balancing/EngineLatencyModel.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/EngineLatencyModel.java
@@ -16,7 +16,7 @@
     private static final double TOKENS_PER_KILOTOKEN = 1_000;
     /** Assumed context of a running request, in tokens: the users' mean prompt. */
     private static final double MEAN_CONTEXT_TOKENS = 1_100;
-    /** Assumed number of events of a running request: the users' mean answer. */
+    /** Assumed number of events of a running request: the users' mean response. */
     private static final double MEAN_EVENTS_PER_ANSWER = 23;
 
     private final EngineProfile engine;
@@ -30,7 +30,7 @@
         this.overhead = overhead;
     }
 
-    /** Updates the learned overhead by the measured and the predicted time of a first event, in milliseconds. */
+    /** Updates the learned overhead from the measured and the predicted time of a first event, in milliseconds. */
     public void recordFirstEvent(double tookMs, double predictedMs) {
         overhead.record(tookMs - predictedMs + overhead.ms());
     }
--- a/src/main/java/org/wigeongrade/decisions/balancing/LearnedOverhead.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/LearnedOverhead.java
@@ -7,12 +7,12 @@
  */
 public final class LearnedOverhead {
     /**
-     * Value before the first observation, in milliseconds: the time that the users' engines took to start an answer.
+     * Value before the first observation, in milliseconds: the time that the users' engines took to start a response.
      */
     private static final double INITIAL_MS = 100;
-    /** Weight of the newest observation; about the last 50 answers count. */
+    /** Weight of the newest observation; about the last 50 responses count. */
     private static final double NEWEST_WEIGHT = 0.04;
-    /** Differences from this one on are ignored, in milliseconds: they come from stalled endpoints. */
+    /** Differences of at least this many milliseconds are ignored, because they come from stalled endpoints. */
     private static final double MAX_DIFFERENCE_MS = 600;
 
     private double overheadMs = INITIAL_MS;
--- a/src/main/java/org/wigeongrade/decisions/balancing/Placement.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/Placement.java
@@ -6,7 +6,7 @@
  * The endpoint chosen for a request, or the reason why it is refused. Immutable; safe for use from any thread.
  *
  * @param endpoint the chosen endpoint; empty if the request is refused
- * @param predictedMs predicted time to the first event or answer
+ * @param predictedMs predicted time to the first event or response
  * @param candidates number of endpoints that could take the request or, if it is refused, that it had not been sent to
  * before
  * @param refusal why no endpoint was chosen
@@ -22,7 +22,7 @@
     public enum Refusal {
         /** No endpoint serves the request's target, or it has already been sent to all that do. */
         NONE_SERVES,
-        /** Every endpoint that serves the request's target is full or would answer too late. */
+        /** Every endpoint that serves the request's target is full or would respond too late. */
         ALL_BUSY
     }
 
--- a/src/main/java/org/wigeongrade/decisions/balancing/RetryBudgetShare.java
+++ b/src/main/java/org/wigeongrade/decisions/balancing/RetryBudgetShare.java
@@ -10,8 +10,11 @@
  * is a parameter. Not thread safe.
  */
 public final class RetryBudgetShare {
-    /** Ratio of the allowed retries that is used, because entry nodes do not see each other's windows. */
-    private static final double USED_RATIO = 0.8;
+    /**
+     * Fraction of the allowed retries that is used; the rest is a margin, because entry nodes do not see each other's
+     * windows.
+     */
+    private static final double USED_FRACTION = 0.8;
 
     private final double ratio;
     private final double slack;
@@ -39,7 +42,7 @@
     public boolean tryRetry(int entryNodes, long nowNanos) {
         removeOld(requestsNanos, nowNanos);
         removeOld(retriesNanos, nowNanos);
-        final double allowed = USED_RATIO * (ratio * requestsNanos.size() + slack / Math.max(1, entryNodes));
+        final double allowed = USED_FRACTION * (ratio * requestsNanos.size() + slack / Math.max(1, entryNodes));
         if (retriesNanos.size() + 1 > allowed) {
             return false;
         }
--- a/src/main/java/org/wigeongrade/decisions/control/ChangeAnswers.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ChangeResults.java
@@ -9,27 +9,27 @@
 import org.wigeongrade.ids.Revision;
 
 /**
- * The results with which the last {@link #MAX_ANSWERS} changes were first answered. A change that is sent again after
- * its answer was lost gets the same result and takes effect only once.
+ * The first results of the last {@link #MAX_RESULTS} changes. A change that is sent again after its response was lost
+ * gets the same result and takes effect only once.
  *
  * <p>Not thread safe; guarded by {@link ControlState}.
  */
-final class ChangeAnswers {
-    static final int MAX_ANSWERS = 4_096;
+final class ChangeResults {
+    static final int MAX_RESULTS = 4_096;
 
-    private final LinkedHashMap<ChangeId, ChangeAnswer> answers = new LinkedHashMap<>();
+    private final LinkedHashMap<ChangeId, ChangeResult> results = new LinkedHashMap<>();
 
     /**
      * Returns the first result of a resent change, a refusal if the id was used for a different change, or empty if the
      * id is new.
      */
     Optional<CommandResult> find(ChangeId changeId, String contentDigest, Revision revision) {
-        final ChangeAnswer answer = answers.get(changeId);
-        if (answer == null) {
+        final ChangeResult stored = results.get(changeId);
+        if (stored == null) {
             return Optional.empty();
         }
-        if (answer.contentDigest().equals(contentDigest)) {
-            return Optional.of(answer.result());
+        if (stored.contentDigest().equals(contentDigest)) {
+            return Optional.of(stored.result());
         }
         return Optional.of(new CommandResult.Refused(
                 ErrorKind.IDEMPOTENCY_KEY_REUSED,
@@ -38,19 +38,19 @@
     }
 
     void add(ChangeId changeId, String contentDigest, CommandResult result) {
-        answers.put(changeId, new ChangeAnswer(changeId, contentDigest, result));
-        if (answers.size() > MAX_ANSWERS) {
-            answers.remove(answers.keySet().iterator().next());
+        results.put(changeId, new ChangeResult(changeId, contentDigest, result));
+        if (results.size() > MAX_RESULTS) {
+            results.remove(results.keySet().iterator().next());
         }
     }
 
-    /** Returns the stored answers, oldest first. */
-    List<ChangeAnswer> all() {
-        return ImmutableList.copyOf(answers.values());
+    /** Returns the stored results, oldest first. */
+    List<ChangeResult> all() {
+        return ImmutableList.copyOf(results.values());
     }
 
-    void restore(List<ChangeAnswer> restored) {
-        answers.clear();
-        restored.forEach(answer -> answers.put(answer.changeId(), answer));
+    void restore(List<ChangeResult> restored) {
+        results.clear();
+        restored.forEach(stored -> results.put(stored.changeId(), stored));
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/control/ControlSnapshot.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ControlSnapshot.java
@@ -23,7 +23,7 @@
         List<ZoneEntry> zones,
         List<FormedGroup> groups,
         List<GroupName> dissolvedGroups,
-        List<ChangeAnswer> changeAnswers,
+        List<ChangeResult> changeAnswers,
         List<ConfigurationChange> changes,
         List<Decision> decisions,
         List<Claim> claims,
--- a/src/main/java/org/wigeongrade/decisions/control/ControlState.java
+++ b/src/main/java/org/wigeongrade/decisions/control/ControlState.java
@@ -35,7 +35,7 @@
 
     private final ZoneTable zones = new ZoneTable();
     private final GroupTable groups = new GroupTable();
-    private final ChangeAnswers changeAnswers = new ChangeAnswers();
+    private final ChangeResults changeResults = new ChangeResults();
     private final ConfigurationChanges changes = new ConfigurationChanges();
     private final DecisionHistory history = new DecisionHistory();
     private final ClaimTable claims = new ClaimTable();
@@ -61,7 +61,7 @@
         declaredSet = snapshot.declaredSet();
         zones.restore(snapshot.zones());
         groups.restore(snapshot.groups(), snapshot.dissolvedGroups(), snapshot.lastFencingToken());
-        changeAnswers.restore(snapshot.changeAnswers());
+        changeResults.restore(snapshot.changeAnswers());
         changes.restore(snapshot.changes());
         history.restore(snapshot.decisions());
         claims.restore(snapshot.claims());
@@ -79,7 +79,7 @@
                 zones.entries(),
                 groups.all(),
                 List.copyOf(groups.dissolved()),
-                changeAnswers.all(),
+                changeResults.all(),
                 changes.all(),
                 history.all(),
                 claims.claims(),
@@ -118,9 +118,9 @@
     private CommandResult applyConfiguration(Command.ApplyConfiguration command) {
         advanceTime(command.proposedAtEpochMs());
         final String digest = ChangeDigest.of(command);
-        return changeAnswers.find(command.changeId(), digest, revision).orElseGet(() -> {
+        return changeResults.find(command.changeId(), digest, revision).orElseGet(() -> {
             final CommandResult result = replaceDeclaredSet(command);
-            changeAnswers.add(command.changeId(), digest, result);
+            changeResults.add(command.changeId(), digest, result);
             return result;
         });
     }
@@ -150,9 +150,9 @@
     private CommandResult setZoneState(Command.SetZoneState command) {
         advanceTime(command.proposedAtEpochMs());
         final String digest = ChangeDigest.of(command);
-        return changeAnswers.find(command.changeId(), digest, revision).orElseGet(() -> {
+        return changeResults.find(command.changeId(), digest, revision).orElseGet(() -> {
             final CommandResult result = changeZone(command);
-            changeAnswers.add(command.changeId(), digest, result);
+            changeResults.add(command.changeId(), digest, result);
             return result;
         });
     }
--- a/src/main/java/org/wigeongrade/decisions/control/GroupRefusal.java
+++ b/src/main/java/org/wigeongrade/decisions/control/GroupRefusal.java
@@ -28,7 +28,7 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the reason as a clause that follows the refusal of the group, for example {@code it is not formed}. */
+    /** Returns the reason as a clause that ends the message of a refusal, for example {@code it is not formed}. */
     public String text() {
         return text;
     }
--- a/src/main/java/org/wigeongrade/decisions/control/GroupTable.java
+++ b/src/main/java/org/wigeongrade/decisions/control/GroupTable.java
@@ -29,8 +29,8 @@
     private FencingToken lastToken = FencingToken.NONE;
 
     /**
-     * Forms a group, unless this violates the table's invariants, the declared set or a zone state; returns the reason
-     * then.
+     * Forms a group, or returns why it is refused: it would violate the table's invariants, the declared set or a zone
+     * state.
      */
     Optional<GroupRefusal> form(Command.FormGroup command, GroupRules rules) {
         final Optional<GroupRefusal> refusal = rules.check(command).or(() -> checkMembers(command));
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Dissolves a group and frees its members, unless the group is not formed or the command's fencing token is older
-     * than the group's; returns the reason then. The token is either newly issued or the group's own.
+     * Dissolves a group and frees its members, or returns why this is refused: the group is not formed, or the
+     * command's fencing token is older than the group's. The token is either newly issued or the group's own.
      */
     Optional<GroupRefusal> dissolve(Command.DissolveGroup command) {
         final FormedGroup group = groups.get(command.group());
--- a/src/main/java/org/wigeongrade/decisions/control/StoredAnswer.java
+++ b/src/main/java/org/wigeongrade/decisions/control/StoredAnswer.java
@@ -1,8 +1,8 @@
 package org.wigeongrade.decisions.control;
 
 /**
- * Complete answer of a plain service, stored for requests that repeat its idempotency key. Immutable: {@code body} must
- * not be modified.
+ * Complete response of a plain service, stored for requests that repeat its idempotency key. Immutable: {@code body}
+ * must not be modified.
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record StoredAnswer(int status, String contentType, byte[] body) {}
--- a/src/main/java/org/wigeongrade/decisions/discovery/VmRegistry.java
+++ b/src/main/java/org/wigeongrade/decisions/discovery/VmRegistry.java
@@ -11,9 +11,9 @@
 /**
  * Keeps the latest heartbeat of each endpoint VM.
  *
- * <p>Invariants: an older incarnation or sequence never replaces a newer one; of two VMs at one address, all but the
- * one with the newer incarnation have ended. Time is a parameter. Thread safe; no other lock is acquired while its lock
- * is held.
+ * <p>Invariants: an older incarnation or sequence never replaces a newer one; of several VMs at one address, all but
+ * the one with the newest incarnation have ended. Time is a parameter. Thread safe; no other lock is acquired
+ * while its lock is held.
  */
 public final class VmRegistry {
     /** Time for which an ended incarnation is remembered; late heartbeats arrive within seconds. */
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupMember.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupMember.java
@@ -11,12 +11,12 @@
     final String address;
     final Optional<FabricDomain> domain;
     private Optional<GroupOrderKind> lastOrderKind = Optional.empty();
-    private Optional<OrderAnswer> lastAnswer = Optional.empty();
+    private Optional<OrderAnswer> lastResponse = Optional.empty();
     private long lastSentNanos;
     private int unansweredOrders;
     private int refusedConnections;
-    /** Time at which the member last answered an order or probe; {@link Long#MIN_VALUE} if never. */
-    private long lastAnsweredNanos = Long.MIN_VALUE;
+    /** Time at which the member last responded to an order or probe; {@link Long#MIN_VALUE} if never. */
+    private long lastRespondedNanos = Long.MIN_VALUE;
 
     GroupMember(VmHeartbeat vm) {
         this.vm = vm.vm();
@@ -36,20 +36,20 @@
             unansweredOrders = 0;
         }
         lastOrderKind = Optional.of(kind);
-        lastAnswer = Optional.empty();
+        lastResponse = Optional.empty();
         lastSentNanos = nowNanos;
     }
 
-    void recordAnswer(GroupOrderKind kind, OrderAnswer answer, long nowNanos) {
-        if (answer.isFromLiveVm()) {
-            lastAnsweredNanos = nowNanos;
+    void recordResponse(GroupOrderKind kind, OrderAnswer response, long nowNanos) {
+        if (response.isFromLiveVm()) {
+            lastRespondedNanos = nowNanos;
         }
-        refusedConnections = answer == OrderAnswer.NO_LISTENER ? refusedConnections + 1 : 0;
+        refusedConnections = response == OrderAnswer.NO_LISTENER ? refusedConnections + 1 : 0;
         if (lastOrderKind.filter(kind::equals).isEmpty()) {
             return;
         }
-        lastAnswer = Optional.of(answer);
-        unansweredOrders = answer.isFromLiveVm() ? 0 : unansweredOrders + 1;
+        lastResponse = Optional.of(response);
+        unansweredOrders = response.isFromLiveVm() ? 0 : unansweredOrders + 1;
     }
 
     /** Resets the count of unanswered orders before a new round of probes. */
@@ -57,12 +57,12 @@
         unansweredOrders = 0;
     }
 
-    /** Returns the answer to the latest order if that order was of the given kind. */
-    Optional<OrderAnswer> answerTo(GroupOrderKind kind) {
-        return lastOrderKind.filter(kind::equals).flatMap(unused -> lastAnswer);
+    /** Returns the response to the latest order if that order was of the given kind. */
+    Optional<OrderAnswer> responseTo(GroupOrderKind kind) {
+        return lastOrderKind.filter(kind::equals).flatMap(unused -> lastResponse);
     }
 
-    /** Returns the number of consecutive orders of the latest kind that got no answer. */
+    /** Returns the number of consecutive orders of the latest kind that got no response. */
     int unansweredOrders() {
         return unansweredOrders;
     }
@@ -72,7 +72,7 @@
         return refusedConnections > 1;
     }
 
-    boolean answeredSince(long sinceNanos) {
-        return lastAnsweredNanos != Long.MIN_VALUE && lastAnsweredNanos - sinceNanos >= 0;
+    boolean respondedSince(long sinceNanos) {
+        return lastRespondedNanos != Long.MIN_VALUE && lastRespondedNanos - sinceNanos >= 0;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupOrderKind.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupOrderKind.java
@@ -14,6 +14,6 @@
     LEAVE,
     /** Load a model's weights onto the host in the background; membership in the group does not change. */
     STAGE,
-    /** Answer, to show that the VM is alive. */
+    /** Respond, to show that the VM is alive. */
     PROBE
 }
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupPlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupPlanner.java
@@ -61,7 +61,7 @@
      * Runs one planning step and returns the orders to send now.
      *
      * @param vms the latest records of the service's VMs
-     * @param observations what entry VMs have observed of the endpoints, by VM
+     * @param observations what entry nodes have observed of the endpoints, by VM
      */
     public ImmutableList<GroupOrder> plan(
             EngineProfile engine, List<VmRecord> vms, Map<VmName, EndpointObservation> observations, long nowNanos) {
@@ -88,22 +88,23 @@
     }
 
     /**
-     * Takes over only the complete groups of earlier leaders, while heartbeats of some VMs may not have arrived yet.
+     * Adopts the complete, open groups of earlier leaders and leaves the others alone, because heartbeats of some of
+     * their VMs may not have arrived yet.
      */
     public void takeOver(EngineProfile engine, List<VmRecord> vms, long nowNanos) {
         adopt(engine, vms, Long.MAX_VALUE, nowNanos);
     }
 
-    /** Records the answer to an order. */
-    public void recordAnswer(GroupOrder order, OrderAnswer answer, long nowNanos) {
-        if (!answer.isFromLiveVm()) {
+    /** Records the response to an order. */
+    public void recordAnswer(GroupOrder order, OrderAnswer response, long nowNanos) {
+        if (!response.isFromLiveVm()) {
             unresponsiveSinceNanos.put(order.vm(), nowNanos);
         }
         groups.stream()
                 .filter(group -> group.name.equals(order.group()) && group.epoch == order.epoch())
                 .flatMap(group -> group.members.stream())
                 .filter(member -> member.vm.equals(order.vm()))
-                .forEach(member -> member.recordAnswer(order.kind(), answer, nowNanos));
+                .forEach(member -> member.recordResponse(order.kind(), response, nowNanos));
     }
 
     /** Returns the groups whose heads may be sent requests. */
@@ -249,7 +250,10 @@
         }
     }
 
-    /** Returns whether missing groups wait for the limit on loads, which loads for spares would use up. */
+    /**
+     * Returns whether missing groups wait until the limit on loads lets them load weights. Spares must not load then,
+     * because their loads would use up the limit.
+     */
     private boolean groupsWaitForLoads(EngineProfile engine, PlanningContext context) {
         final List<VmHeartbeat> free = freeVms(context, true);
         return !loadLimiter.haveCallersStarted()
@@ -365,7 +369,7 @@
     }
 
     /**
-     * Returns whether the VM reports that it is in the group, which may have been taken over before this VM's first
+     * Returns whether the VM reports that it is in the group, which may have been adopted before this VM's first
      * heartbeat.
      */
     private static boolean isReportedBy(VmRecord vm, ManagedGroup group) {
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupTimings.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupTimings.java
@@ -32,7 +32,7 @@
     /** Resend interval for a VM that has left several orders unanswered. */
     static final long SLOW_RESEND_NANOS = TimeUnit.SECONDS.toNanos(3);
     /**
-     * Resend interval of joins. A VM answers at once and reports the finished join in a heartbeat, so the report may
+     * Resend interval of joins. A VM responds at once and reports the finished join in a heartbeat, so the report may
      * take one heartbeat interval.
      */
     static final long JOIN_RESEND_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
@@ -49,9 +49,9 @@
     static final long RECENT_PROGRESS_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
     /** Minimum time between two rounds of probes to a group, which limits the number of probes. */
     static final long PROBE_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000);
-    /** Time until entry VMs stop sending to a group that drains: they learn of it with their next pull. */
+    /** Time until entry nodes stop sending to a draining group: they learn of it with their next pull. */
     static final long ROUTING_UPDATE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
-    /** Maximum time to wait for the streams of a draining group; longer than most answers take. */
+    /** Maximum time to wait for the streams of a draining group; longer than most responses take. */
     static final long DRAIN_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(3_500);
     /** A group is closed if its head does not open within this time. */
     static final long OPEN_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(4_000);
--- a/src/main/java/org/wigeongrade/decisions/grouping/InheritedGroups.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/InheritedGroups.java
@@ -18,10 +18,10 @@
 import org.wigeongrade.ids.ModelVersionName;
 
 /**
- * Takes over the groups that an earlier leader formed, as the VMs report them in their heartbeats.
+ * Adopts the groups that an earlier leader formed, as the VMs report them in their heartbeats.
  *
- * <p>Invariants: a VM that reports a group of an earlier leader is free only after that group has been taken over and
- * has ended. An order of the earlier leader may still be carried out, so a group that is incomplete or not open is
+ * <p>Invariants: a VM that reports a group of an earlier leader is free only after that group has been adopted and has
+ * ended. An order of the earlier leader may still be carried out, so a group that is incomplete or not open is
  * treated as one that may still open until its head has left it. Not thread safe.
  */
 final class InheritedGroups {
@@ -36,7 +36,7 @@
     private final Map<Key, Long> endedNanos = new HashMap<>();
     private final Map<Key, Long> firstSeenNanos = new HashMap<>();
 
-    /** Records that this leader formed or took over a group. */
+    /** Records that this leader formed or adopted a group. */
     void owned(GroupName group, long epoch) {
         owned.add(new Key(group, epoch));
     }
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Returns whether the VM reports a group that has not been taken over: one of an earlier leader, or an ended one
+     * Returns whether the VM reports a group that has not been adopted: one of an earlier leader, or an ended one
      * that reopened because a delayed order was carried out.
      */
     boolean isInUnadoptedGroup(VmRecord vm) {
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Returns the number of groups of the model that VMs with recent heartbeats report and that have not been taken
-     * over yet.
+     * Returns the number of groups of the model that VMs with recent heartbeats report and that have not been adopted
+     * yet.
      */
     int countPending(ModelVersionName model, List<VmRecord> vms, long maxSilenceNanos, long nowNanos) {
         return (int) vms.stream()
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Takes over complete, open groups immediately. Takes over other groups, in order to end them, after all members
-     * have had time to report.
+     * Adopts complete, open groups immediately. Adopts other groups, in order to end them, after all members have had
+     * time to report.
      */
     ImmutableList<ManagedGroup> adopt(EngineProfile engine, List<VmRecord> vms, long maxWaitNanos, long nowNanos) {
         final Map<Key, List<VmRecord>> byGroup = vms.stream()
--- a/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
@@ -182,28 +182,28 @@
             return;
         }
         final boolean progressed = context.observationOf(head()).progressedSince(phaseSinceNanos);
-        if (progressed || members.stream().allMatch(member -> member.answeredSince(phaseSinceNanos))) {
+        if (progressed || members.stream().allMatch(member -> member.respondedSince(phaseSinceNanos))) {
             nextCheckNanos = context.nowNanos() + GroupTimings.PROBE_PAUSE_NANOS;
             enterPhase(GroupPhase.SERVING, "the group makes progress or every member answers", context.nowNanos());
             return;
         }
         final Optional<GroupMember> lost = members.stream()
-                .filter(member -> !member.answeredSince(phaseSinceNanos) && isLost(member))
+                .filter(member -> !member.respondedSince(phaseSinceNanos) && isLost(member))
                 .findFirst();
         if (lost.isPresent()) {
             enterPhase(GroupPhase.CLOSING, "member " + lost.get().vm + " does not answer", context.nowNanos());
             return;
         }
         members.stream()
-                .filter(member -> !member.answeredSince(phaseSinceNanos))
+                .filter(member -> !member.respondedSince(phaseSinceNanos))
                 .filter(member ->
                         member.isDue(GroupOrderKind.PROBE, GroupTimings.PROBE_RESEND_NANOS, context.nowNanos()))
                 .forEach(member -> sendOrder(member, GroupOrderKind.PROBE, context));
     }
 
     private static boolean isLost(GroupMember member) {
-        final Optional<OrderAnswer> answer = member.answerTo(GroupOrderKind.PROBE);
-        final boolean processGone = answer.filter(
+        final Optional<OrderAnswer> response = member.responseTo(GroupOrderKind.PROBE);
+        final boolean processGone = response.filter(
                         given -> given == OrderAnswer.NO_LISTENER || given == OrderAnswer.ENDED)
                 .isPresent();
         return processGone || member.unansweredOrders() >= GroupTimings.MAX_UNANSWERED_PROBES;
@@ -226,7 +226,7 @@
             enterPhase(GroupPhase.ENDED, cause, context.nowNanos());
             return;
         }
-        if (head().answerTo(GroupOrderKind.LEAVE)
+        if (head().responseTo(GroupOrderKind.LEAVE)
                 .filter(OrderAnswer::isFromLiveVm)
                 .isPresent()) {
             enterPhase(GroupPhase.ENDED, cause, context.nowNanos());
@@ -239,7 +239,7 @@
         headClosed = headClosed || isClosed(head());
         final GroupOrderKind next = headClosed ? GroupOrderKind.LEAVE : GroupOrderKind.CLOSE_NOW;
         final boolean begun =
-                head().answerTo(next).filter(OrderAnswer.BEGUN::equals).isPresent();
+                head().responseTo(next).filter(OrderAnswer.BEGUN::equals).isPresent();
         final long resendNanos = begun ? GroupTimings.CLOSING_POLL_NANOS : GroupTimings.ORDER_RESEND_NANOS;
         if (head().isDue(next, resendNanos, context.nowNanos())) {
             sendOrder(head(), next, context);
@@ -247,13 +247,13 @@
     }
 
     /**
-     * Returns whether the head is closed: it answered the order to close with done, or refused it because it is not
-     * open in this group.
+     * Returns whether the head is closed: it responded to the order to close with {@link OrderAnswer#DONE}, or refused
+     * it because it is not open in this group.
      */
     private static boolean isClosed(GroupMember head) {
-        return head.answerTo(GroupOrderKind.CLOSE_NOW)
-                .or(() -> head.answerTo(GroupOrderKind.CLOSE_WHEN_DONE))
-                .filter(answer -> answer == OrderAnswer.DONE || answer == OrderAnswer.REFUSED)
+        return head.responseTo(GroupOrderKind.CLOSE_NOW)
+                .or(() -> head.responseTo(GroupOrderKind.CLOSE_WHEN_DONE))
+                .filter(response -> response == OrderAnswer.DONE || response == OrderAnswer.REFUSED)
                 .isPresent();
     }
 
@@ -288,7 +288,7 @@
     }
 
     private static boolean hasLeft(GroupMember member) {
-        return member.answerTo(GroupOrderKind.LEAVE)
+        return member.responseTo(GroupOrderKind.LEAVE)
                 .filter(OrderAnswer::isFromLiveVm)
                 .isPresent();
     }
@@ -355,8 +355,8 @@
     }
 
     private static boolean cannotJoin(GroupMember member) {
-        return member.answerTo(GroupOrderKind.JOIN)
-                        .filter(answer -> answer == OrderAnswer.REFUSED || answer == OrderAnswer.ENDED)
+        return member.responseTo(GroupOrderKind.JOIN)
+                        .filter(response -> response == OrderAnswer.REFUSED || response == OrderAnswer.ENDED)
                         .isPresent()
                 || member.unansweredOrders() > 1;
     }
--- a/src/main/java/org/wigeongrade/decisions/grouping/OrderAnswer.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/OrderAnswer.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.grouping;
 
-/** The answer to an order. Immutable; safe for use from any thread. */
+/** The response to an order. Immutable; safe for use from any thread. */
 public enum OrderAnswer {
     /** The VM has started to carry out the order. */
     BEGUN,
@@ -8,14 +8,14 @@
     DONE,
     /** The order does not match the VM's state, or is older than one that the VM has seen. */
     REFUSED,
-    /** Another VM answered at the address: the addressed one has ended. */
+    /** Another VM responded at the address, so the addressed one has ended. */
     ENDED,
     /** The address refused the connection. */
     NO_LISTENER,
-    /** No answer came in time; the order may still be carried out later. */
+    /** No response came in time; the order may still be carried out later. */
     NONE;
 
-    /** Returns whether the addressed VM answered, which shows that it is alive. */
+    /** Returns whether the addressed VM responded, which shows that it is alive. */
     public boolean isFromLiveVm() {
         return this == BEGUN || this == DONE || this == REFUSED;
     }
--- a/src/main/java/org/wigeongrade/decisions/grouping/ScaleUpPolicy.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/ScaleUpPolicy.java
@@ -13,7 +13,8 @@
  */
 final class ScaleUpPolicy {
     /**
-     * Ratio of used slots from which on first events come late: an engine slows down with each request that it runs.
+     * Ratio of used slots at and above which first events arrive late, because an engine slows down with each request
+     * that it runs.
      */
     private static final double HIGH_SLOT_USAGE = 0.7;
     /** Minimum time between adding two groups: long enough to form one and for its share of the requests to arrive. */
--- a/src/main/java/org/wigeongrade/decisions/grouping/SecondModelStaging.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/SecondModelStaging.java
@@ -16,7 +16,7 @@
  * once and a group of the second model after a warm-up; without this it would need many seconds to load. Stateless.
  */
 final class SecondModelStaging {
-    /** Number of VMs of a domain that are ready for a model, up to which one more is useful. */
+    /** Maximum number of VMs in a domain that are ready for a model while one more is still useful. */
     private static final int MAX_READY_IN_DOMAIN = 1;
 
     /** A spare and the second model to load onto its host. Immutable; safe for use from any thread. */
--- a/src/main/java/org/wigeongrade/decisions/grouping/WeightLoadLimiter.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/WeightLoadLimiter.java
@@ -12,8 +12,8 @@
 final class WeightLoadLimiter {
     /** Length of the windows over which the weight store counts loads. */
     private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(5);
-    /** Ratio of the store's rate that is used, so that orders carried out late cannot exceed the rate. */
-    private static final double USED_RATIO = 0.5;
+    /** Fraction of the store's rate that is used, so that orders carried out late cannot exceed the rate. */
+    private static final double USED_FRACTION = 0.5;
 
     private boolean callersStarted;
     private final Deque<Long> startsNanos = new ArrayDeque<>();
@@ -42,7 +42,7 @@
         while (!startsNanos.isEmpty() && nowNanos - startsNanos.peekFirst() > WINDOW_NANOS) {
             startsNanos.removeFirst();
         }
-        final double maxPerWindow = USED_RATIO * loadsPerSecond * TimeUnit.NANOSECONDS.toSeconds(WINDOW_NANOS);
+        final double maxPerWindow = USED_FRACTION * loadsPerSecond * TimeUnit.NANOSECONDS.toSeconds(WINDOW_NANOS);
         return belowConcurrencyLimit && startsNanos.size() + loads <= Math.max(maxPerWindow, loads);
     }
 
--- a/src/main/java/org/wigeongrade/decisions/log/LeaderRole.java
+++ b/src/main/java/org/wigeongrade/decisions/log/LeaderRole.java
@@ -15,9 +15,9 @@
 /**
  * Leads for one term: replicates and commits entries, maintains the lease and changes the voters.
  *
- * <p>Invariants: the leader commits only entries of its own term by counting copies, and earlier entries along with
- * them; the lease starts at a send time that a quorum has acknowledged; a membership change adds or removes one voter.
- * Not thread safe.
+ * <p>Invariants: the leader commits entries of its own term once enough voters store them, and earlier entries only
+ * along with them; the lease starts at a send time that a quorum has acknowledged; a membership change adds or removes
+ * one voter. Not thread safe.
  */
 final class LeaderRole {
     private static final int MAX_BATCH_ENTRIES = 1_024;
--- a/src/main/java/org/wigeongrade/decisions/log/RecoveredState.java
+++ b/src/main/java/org/wigeongrade/decisions/log/RecoveredState.java
@@ -9,7 +9,7 @@
  * <p>Invariant: the entries follow the base without a gap, and the base is not past the snapshot. Immutable.
  *
  * @param incarnation identifies the data folder
- * @param mayBootstrap false if an earlier folder of this node was lost, so that this one never counts as new
+ * @param mayBootstrap false if an earlier folder of this node was lost; the present one then never counts as new
  */
 public record RecoveredState(
         long incarnation,
--- a/src/main/java/org/wigeongrade/decisions/log/VoterPolicy.java
+++ b/src/main/java/org/wigeongrade/decisions/log/VoterPolicy.java
@@ -24,7 +24,7 @@
     /**
      * Returns the policy that tolerates the loss of {@code toleratedLosses} disks at once.
      *
-     * @param replaceSilentAfterNanos see the record
+     * @param replaceSilentAfterNanos see {@link VoterPolicy}
      */
     public static VoterPolicy tolerating(int toleratedLosses, long replaceSilentAfterNanos) {
         return new VoterPolicy(2 * toleratedLosses + 1, toleratedLosses + 1, replaceSilentAfterNanos);
--- a/src/main/java/org/wigeongrade/decisions/published/Route.java
+++ b/src/main/java/org/wigeongrade/decisions/published/Route.java
@@ -10,8 +10,8 @@
  *
  * <p>Invariant: the prefix begins and ends with a slash. Immutable; safe for use from any thread.
  *
- * @param timeoutMs maximum time until the caller has the complete answer
- * @param targetLatencyMs maximum time to the answer, or to the first event of a stream, that counts as on time
+ * @param timeoutMs maximum time until the caller has the complete response
+ * @param targetLatencyMs maximum time to the response, or to the first event of a stream, that counts as on time
  * @param targetPauseMs maximum pause between two events that counts as on time; 0 where nothing is streamed
  * @param priority priority of the route's requests; 0 is the highest
  * @param maxAttempts maximum number of endpoints that one request is sent to
--- a/src/main/java/org/wigeongrade/decisions/published/RouteKind.java
+++ b/src/main/java/org/wigeongrade/decisions/published/RouteKind.java
@@ -16,7 +16,7 @@
             return false;
         }
     },
-    /** A request is answered by a stream of events; it runs at most once unless the route's streams are resumable. */
+    /** The response is a stream of events; a request runs at most once unless the route's streams are resumable. */
     STREAMING {
         @Override
         public boolean mayRetry(boolean resumable) {
@@ -32,7 +32,7 @@
     /** Returns whether a request that may have run may be retried. */
     public abstract boolean mayRetry(boolean resumable);
 
-    /** Returns whether the answer is a stream of events. */
+    /** Returns whether the response is a stream of events. */
     public boolean streams() {
         return false;
     }
--- a/src/test/java/org/wigeongrade/decisions/grouping/GroupPlannerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/GroupPlannerTest.java
@@ -257,7 +257,7 @@
         final SimulatedFleet faultyFleet = new SimulatedFleet(4, 8, seed);
         faultyFleet.run(LOADED_MS);
         for (int round = 0; round < 25; round++) {
-            faultyFleet.lateOrderRatio = faultyFleet.random.nextInt(3) == 0 ? 0.35 : 0;
+            faultyFleet.lateOrderFraction = faultyFleet.random.nextInt(3) == 0 ? 0.35 : 0;
             switch (faultyFleet.random.nextInt(8)) {
                 case 0 -> faultyFleet.anyMember().ended = true;
                 case 1 -> faultyFleet.anyMember().partitioned = true;
--- a/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
@@ -51,8 +51,8 @@
     final List<GroupPhaseChange> changes = new ArrayList<>();
     private final List<ReceivedHeartbeat> receivedHeartbeats = new ArrayList<>();
     final Random random;
-    /** Ratio of orders that get no answer and are carried out 2 to 12 s later. */
-    double lateOrderRatio;
+    /** Fraction of orders that get no response and are carried out 2 to 12 s later. */
+    double lateOrderFraction;
 
     /** Number of joins that had to load weights from the store. */
     int loads;
@@ -66,7 +66,7 @@
     private VmRegistry registry = new VmRegistry();
     private GroupPlanner planner;
     private boolean callersActive;
-    /** Whether each open group has a request, so that entry nodes see whether it makes progress. */
+    /** Whether each open group has a request, so that entry nodes see whether the group makes progress. */
     private boolean everyGroupBusy;
 
     /** The model whose groups are full of requests, if any. */
@@ -171,7 +171,7 @@
                 .filter(each -> each.incarnation.equals(order.vm()))
                 .findFirst()
                 .orElseThrow();
-        final boolean late = random.nextDouble() < lateOrderRatio;
+        final boolean late = random.nextDouble() < lateOrderFraction;
         if (late) {
             schedule(2_000 + random.nextInt(10_000), () -> executeIfReachable(vm, order));
         }
@@ -180,8 +180,8 @@
             return;
         }
         schedule(5, () -> {
-            final OrderAnswer answer = vm.ended ? OrderAnswer.NONE : vm.execute(order);
-            schedule(5, () -> leader.recordAnswer(order, answer, nanos(nowMs)));
+            final OrderAnswer response = vm.ended ? OrderAnswer.NONE : vm.execute(order);
+            schedule(5, () -> leader.recordAnswer(order, response, nanos(nowMs)));
         });
     }
 
@@ -316,9 +316,9 @@
 
     void checkCompleteBeforeOpening(SimulatedVm head) {
         final Set<VmName> ready = everReady.getOrDefault(head.group, Set.of());
-        final boolean whole =
+        final boolean complete =
                 head.members.size() == model(head.lastModel).groupSize() && ready.containsAll(head.members);
-        if (!whole) {
+        if (!complete) {
             violations.add(nowMs + " ms: " + head.group + " opens, but its ready members were " + ready + " of "
                     + head.members);
         }
--- a/src/test/java/org/wigeongrade/decisions/grouping/SimulatedVm.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/SimulatedVm.java
@@ -58,7 +58,7 @@
         return group != null && members.get(0).equals(incarnation.vm());
     }
 
-    /** Returns whether requests may run here, or be stalled here. */
+    /** Returns whether this VM may have requests of callers, running or stalled. */
     boolean mayServe() {
         return !ended && isHead() && (state == GroupState.OPEN || state == GroupState.CLOSING);
     }
@@ -213,9 +213,9 @@
             stalledSinceMs = Long.MAX_VALUE;
             return;
         }
-        final boolean whole = members.stream().allMatch(member -> fleet.isIn(member, group, epoch));
-        stalledSinceMs = whole ? Long.MAX_VALUE : Math.min(stalledSinceMs, fleet.nowMs());
-        if (!whole && fleet.nowMs() - stalledSinceMs >= STALL_MS) {
+        final boolean complete = members.stream().allMatch(member -> fleet.isIn(member, group, epoch));
+        stalledSinceMs = complete ? Long.MAX_VALUE : Math.min(stalledSinceMs, fleet.nowMs());
+        if (!complete && fleet.nowMs() - stalledSinceMs >= STALL_MS) {
             state = GroupState.BROKEN;
             sendHeartbeatSoon();
         }
--- a/src/test/java/org/wigeongrade/decisions/log/SafetyChecker.java
+++ b/src/test/java/org/wigeongrade/decisions/log/SafetyChecker.java
@@ -63,7 +63,7 @@
     }
 
     /** Checks log matching: entries with equal index and term have equal digests, so the logs are equal up to them. */
-    void onWrite(NodeName node, LogEntry entry) {
+    void onAppend(NodeName node, LogEntry entry) {
         Digest other = written.putIfAbsent(new EntryKey(entry.index(), entry.term()), entry.digest());
         if (other != null && !other.equals(entry.digest())) {
             violations.add("entry " + entry.index() + " of term " + entry.term() + " differs on " + node);
--- a/src/test/java/org/wigeongrade/decisions/log/SimulatedCluster.java
+++ b/src/test/java/org/wigeongrade/decisions/log/SimulatedCluster.java
@@ -97,12 +97,12 @@
      * committed entries.
      */
     boolean hasConverged() {
-        boolean allVote =
+        boolean allAreVoters =
                 nodes.stream().allMatch(node -> node.core.map(RaftCore::isVoter).orElse(false));
-        boolean allApply = nodes.stream()
+        boolean allCaughtUp = nodes.stream()
                 .allMatch(node ->
                         checker.committedIndex() - node.core.orElseThrow().appliedIndex() < KEPT_ENTRIES);
-        return allVote && allApply && leaseHolders().size() == 1;
+        return allAreVoters && allCaughtUp && leaseHolders().size() == 1;
     }
 
     long committedIndex() {
@@ -185,7 +185,7 @@
     private void checkOutputs(SimulatedNode node, Outputs outputs) {
         outputs.halt().ifPresent(reason -> checker.onHalt(node.name, reason));
         outputs.installed().ifPresent(snapshot -> checker.installs(node.name, snapshot.position()));
-        outputs.entries().forEach(entry -> checker.onWrite(node.name, entry));
+        outputs.entries().forEach(entry -> checker.onAppend(node.name, entry));
         outputs.committed().forEach(entry -> checker.onApply(node.name, entry));
     }
 
@@ -304,9 +304,9 @@
 
     private void loseDisk(SimulatedNode node) {
         Membership voters = checker.committedMembership();
-        boolean allVote =
+        boolean allAreVoters =
                 nodes.stream().allMatch(other -> voters.isVoter(new Member(other.name, other.disk.incarnation)));
-        if (!allVote) {
+        if (!allAreVoters) {
             return;
         }
         crash(node);
