--- a/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
@@ -247,8 +247,8 @@
     }
 
     /**
-     * Returns whether the head is closed: it responded to the order to close with {@link OrderAnswer#DONE}, or refused
-     * it because it is not open in this group.
+     * Returns whether the head is closed: it responded to the order to close with {@link OrderAnswer#DONE}, or
+     * refused it because it is not open in this group.
      */
     private static boolean isClosed(GroupMember head) {
         return head.responseTo(GroupOrderKind.CLOSE_NOW)
--- a/src/main/java/org/wigeongrade/decisions/log/HardState.java
+++ b/src/main/java/org/wigeongrade/decisions/log/HardState.java
@@ -6,7 +6,8 @@
 /**
  * The current term and the vote granted in it.
  *
- * <p>Invariant: it is durable before any message that depends on it is sent. Immutable; safe for use from any thread.
+ * <p>Invariant: a new value is durable before any message that depends on it is sent. Immutable; safe for use from any
+ * thread.
  */
 public record HardState(long term, Optional<NodeName> votedFor) {
     /** The state of a new data folder. */
--- a/src/main/java/org/wigeongrade/decisions/published/PublishedState.java
+++ b/src/main/java/org/wigeongrade/decisions/published/PublishedState.java
@@ -43,7 +43,7 @@
         return zonesOut;
     }
 
-    /** Returns the outcome of publishing the document under the version, without publishing it. */
+    /** Returns the outcome that publishing the document under the version would have, without publishing it. */
     public PublishOutcome outcomeOf(long newVersion, byte[] newDocument) {
         if (newVersion > version) {
             return PublishOutcome.IN_FORCE;
