--- a/src/main/java/org/wigeongrade/bench/ControlStateBench.java
+++ b/src/main/java/org/wigeongrade/bench/ControlStateBench.java
@@ -10,7 +10,7 @@
 import org.wigeongrade.decisions.control.Command;
 import org.wigeongrade.decisions.control.ControlCodec;
 import org.wigeongrade.decisions.control.ControlState;
-import org.wigeongrade.decisions.control.StoredAnswer;
+import org.wigeongrade.decisions.control.StoredResponse;
 import org.wigeongrade.decisions.placement.PlacementInput;
 import org.wigeongrade.decisions.placement.PlacementPlanner;
 import org.wigeongrade.errors.RunStatus;
@@ -106,7 +106,7 @@
                 "key-" + number,
                 RequestId.of("request-" + number),
                 RunStatus.COMPLETED,
-                new StoredAnswer(200, "application/json", new byte[RESPONSE_BYTES]),
+                new StoredResponse(200, "application/json", new byte[RESPONSE_BYTES]),
                 2);
     }
 
--- a/src/main/java/org/wigeongrade/callers/Attempts.java
+++ b/src/main/java/org/wigeongrade/callers/Attempts.java
@@ -58,7 +58,7 @@
             long deadlineNanos) {
         this.dependencies = dependencies;
         this.dispatcher = dispatcher;
-        this.retries = new Retries(dependencies.entry().retries());
+        this.retries = new Retries(dependencies.entry().retryBudget());
         this.decisions = decisions;
         this.target = target;
         this.requestId = requestId;
@@ -122,11 +122,11 @@
     Optional<WigeongradeException> recordFailure(
             AttemptProgress attempt, AttemptOutcome outcome, String detail, boolean resumable, boolean resumed) {
         end(attempt, outcome);
-        mayHaveRun |= outcome.claim() != RunStatus.NOT_RUN;
+        mayHaveRun |= outcome.runStatus() != RunStatus.NOT_RUN;
         final String endpoint = attempt.dispatch().endpoint().id().value();
         final Optional<RetryRefusal> refusal = retries.refusal(new RetryFacts(
                 target,
-                outcome.claim(),
+                outcome.runStatus(),
                 idempotent,
                 resumable,
                 count,
--- a/src/main/java/org/wigeongrade/callers/CallerAdmission.java
+++ b/src/main/java/org/wigeongrade/callers/CallerAdmission.java
@@ -39,7 +39,7 @@
         }
 
         void finish(long usedTokens) {
-            entry.organisationUse().end(target.toString(), organisation);
+            entry.organisationUsage().end(target.toString(), organisation);
             entry.admission().finish(limits, usedTokens);
         }
     }
@@ -47,7 +47,7 @@
     /** Admits a request; throws with kind ORGANISATION_LIMIT and a retry delay if a limit is reached. */
     Admitted admit(OrganisationDeclaration organisation, RouteTarget target, long estimatedTokens) {
         final long nowNanos = entry.nowNanos();
-        final Optional<AdmissionReason> fairShareRefusal = entry.organisationUse()
+        final Optional<AdmissionReason> fairShareRefusal = entry.organisationUsage()
                 .refusal(
                         target.toString(),
                         organisation.name(),
@@ -69,7 +69,7 @@
         if (decision instanceof AdmissionDecision.Refused refused) {
             throw refused(organisation, refused.reason(), refused.retryAfterMs());
         }
-        entry.organisationUse().begin(target.toString(), organisation.name());
+        entry.organisationUsage().begin(target.toString(), organisation.name());
         return new Admitted((AdmissionDecision.Admitted) decision, target, organisation.name());
     }
 
--- a/src/main/java/org/wigeongrade/callers/ClaimClient.java
+++ b/src/main/java/org/wigeongrade/callers/ClaimClient.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.wigeongrade.decisions.control.Command;
 import org.wigeongrade.decisions.control.CommandResult;
-import org.wigeongrade.decisions.control.StoredAnswer;
+import org.wigeongrade.decisions.control.StoredResponse;
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.RunStatus;
 import org.wigeongrade.errors.WigeongradeException;
@@ -37,7 +37,7 @@
         record Claimed(long sendDeadlineNanos) implements Outcome {}
 
         /** A call with the same idempotency key already completed; this is its stored response. */
-        record AlreadyAnswered(StoredAnswer response) implements Outcome {}
+        record AlreadyAnswered(StoredResponse response) implements Outcome {}
 
         /** The call must not be sent. */
         record Refused(WigeongradeException failure) implements Outcome {}
@@ -69,7 +69,7 @@
     }
 
     /** Records the outcome of a claimed call; returns whether the record was committed. */
-    boolean finish(ServiceCall call, RequestId requestId, RunStatus outcome, Optional<StoredAnswer> response) {
+    boolean finish(ServiceCall call, RequestId requestId, RunStatus outcome, Optional<StoredResponse> response) {
         final boolean fitsInLog = response.filter(stored -> stored.body().length <= MAX_STORED_BODY_BYTES)
                 .isPresent();
         final RunStatus recordedOutcome = outcome == RunStatus.COMPLETED && !fitsInLog ? RunStatus.UNKNOWN : outcome;
--- a/src/main/java/org/wigeongrade/callers/Dispatcher.java
+++ b/src/main/java/org/wigeongrade/callers/Dispatcher.java
@@ -70,7 +70,7 @@
                 suspectDecision instanceof SuspectDecision.RunAlone ? runningAlone(originalRequest) : originalRequest;
         final List<EndpointView> reachable = entry.unreachable().reachable(view.allEndpoints(), nowNanos);
         while (true) {
-            final RouteContext context = new RouteContext(request, slots, entry.prefixes(), nowNanos);
+            final RouteContext context = new RouteContext(request, slots, entry.prefixIndex(), nowNanos);
             final RouteDecision decision = router.choose(reachable, context, RandomGenerator.getDefault());
             if (decision instanceof RouteDecision.Refused refused) {
                 decisions.add("", "not routed", decision.explanation());
@@ -96,7 +96,7 @@
         final FleetView view = entry.view();
         final RouteRequest request =
                 new RouteRequest(target, List.of(), 0, Set.of(), entry.zone(), entry.self(), false);
-        final RouteContext context = new RouteContext(request, slots, entry.prefixes(), nowNanos);
+        final RouteContext context = new RouteContext(request, slots, entry.prefixIndex(), nowNanos);
         final ImmutableList.Builder<String> addresses = ImmutableList.builder();
         for (final EndpointView endpoint : view.allEndpoints()) {
             final Optional<RouteReason> rejection = router.rejection(endpoint, context);
--- a/src/main/java/org/wigeongrade/callers/ServiceExchange.java
+++ b/src/main/java/org/wigeongrade/callers/ServiceExchange.java
@@ -9,7 +9,7 @@
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.wigeongrade.decisions.control.StoredAnswer;
+import org.wigeongrade.decisions.control.StoredResponse;
 import org.wigeongrade.decisions.outcomes.AttemptEvent;
 import org.wigeongrade.decisions.outcomes.AttemptOutcome;
 import org.wigeongrade.decisions.routing.RouteRequest;
@@ -222,7 +222,7 @@
         finish(failure.kind().runStatus() == RunStatus.NOT_RUN ? RequestOutcome.REFUSED : RequestOutcome.FAILED);
     }
 
-    private void respondWithStored(StoredAnswer response) {
+    private void respondWithStored(StoredResponse response) {
         if (ended) {
             return;
         }
@@ -336,7 +336,7 @@
                 }
                 attempts.recordResponse(attempt);
             }
-            final StoredAnswer response = new StoredAnswer(
+            final StoredResponse response = new StoredResponse(
                     attempt.head().status(),
                     attempt.head().header("content-type").orElse("application/octet-stream"),
                     body.toByteArray());
--- a/src/main/java/org/wigeongrade/decisions/control/Command.java
+++ b/src/main/java/org/wigeongrade/decisions/control/Command.java
@@ -116,7 +116,7 @@
             String idempotencyKey,
             RequestId requestId,
             RunStatus outcome,
-            StoredAnswer answer,
+            StoredResponse answer,
             long proposedAtEpochMs)
             implements Command {
         public FinishClaim {
--- a/src/main/java/org/wigeongrade/decisions/control/CommandResult.java
+++ b/src/main/java/org/wigeongrade/decisions/control/CommandResult.java
@@ -20,5 +20,5 @@
     record Refused(ErrorKind kind, String message, Revision revision) implements CommandResult {}
 
     /** The claimed request has already completed with {@code answer}. */
-    record AlreadyAnswered(StoredAnswer answer) implements CommandResult {}
+    record AlreadyAnswered(StoredResponse answer) implements CommandResult {}
 }
--- a/src/main/java/org/wigeongrade/decisions/control/StoredAnswer.java
+++ b/src/main/java/org/wigeongrade/decisions/control/StoredResponse.java
@@ -5,4 +5,4 @@
  * must not be modified.
  */
 @SuppressWarnings("ArrayRecordComponent")
-public record StoredAnswer(int status, String contentType, byte[] body) {}
+public record StoredResponse(int status, String contentType, byte[] body) {}
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupMember.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupMember.java
@@ -11,7 +11,7 @@
     final String address;
     final Optional<FabricDomain> domain;
     private Optional<GroupOrderKind> lastOrderKind = Optional.empty();
-    private Optional<OrderAnswer> lastResponse = Optional.empty();
+    private Optional<OrderResponse> lastResponse = Optional.empty();
     private long lastSentNanos;
     private int unansweredOrders;
     private int refusedConnections;
@@ -40,11 +40,11 @@
         lastSentNanos = nowNanos;
     }
 
-    void recordResponse(GroupOrderKind kind, OrderAnswer response, long nowNanos) {
+    void recordResponse(GroupOrderKind kind, OrderResponse response, long nowNanos) {
         if (response.isFromLiveVm()) {
             lastRespondedNanos = nowNanos;
         }
-        refusedConnections = response == OrderAnswer.NO_LISTENER ? refusedConnections + 1 : 0;
+        refusedConnections = response == OrderResponse.NO_LISTENER ? refusedConnections + 1 : 0;
         if (lastOrderKind.filter(kind::equals).isEmpty()) {
             return;
         }
@@ -58,7 +58,7 @@
     }
 
     /** Returns the response to the latest order if that order was of the given kind. */
-    Optional<OrderAnswer> responseTo(GroupOrderKind kind) {
+    Optional<OrderResponse> responseTo(GroupOrderKind kind) {
         return lastOrderKind.filter(kind::equals).flatMap(unused -> lastResponse);
     }
 
--- a/src/main/java/org/wigeongrade/decisions/grouping/GroupPlanner.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/GroupPlanner.java
@@ -66,7 +66,7 @@
     public ImmutableList<GroupOrder> plan(
             EngineProfile engine, List<VmRecord> vms, Map<VmName, EndpointObservation> observations, long nowNanos) {
         if (observations.values().stream().anyMatch(seen -> seen.inFlight() > 0)) {
-            loadLimiter.callersStarted();
+            loadLimiter.recordCallersStarted();
         }
         final ImmutableMap<VmName, VmRecord> byName =
                 vms.stream().collect(ImmutableMap.toImmutableMap(vm -> vm.vm().vm(), vm -> vm));
@@ -91,12 +91,12 @@
      * Adopts the complete, open groups of earlier leaders and leaves the others alone, because heartbeats of some of
      * their VMs may not have arrived yet.
      */
-    public void takeOver(EngineProfile engine, List<VmRecord> vms, long nowNanos) {
+    public void adoptCompleteGroups(EngineProfile engine, List<VmRecord> vms, long nowNanos) {
         adopt(engine, vms, Long.MAX_VALUE, nowNanos);
     }
 
     /** Records the response to an order. */
-    public void recordAnswer(GroupOrder order, OrderAnswer response, long nowNanos) {
+    public void recordResponse(GroupOrder order, OrderResponse response, long nowNanos) {
         if (!response.isFromLiveVm()) {
             unresponsiveSinceNanos.put(order.vm(), nowNanos);
         }
@@ -286,7 +286,7 @@
     private void start(GroupPhase phase, GroupedModel model, List<VmHeartbeat> vms, PlanningContext context) {
         final long epoch = nextEpoch++;
         final String prefix = phase == GroupPhase.SPARE ? InheritedGroups.SPARE_PREFIX : InheritedGroups.GROUP_PREFIX;
-        inherited.owned(GroupName.of(prefix + epoch), epoch);
+        inherited.recordOwned(GroupName.of(prefix + epoch), epoch);
         final ManagedGroup group = new ManagedGroup(
                 GroupName.of(prefix + epoch),
                 epoch,
--- a/src/main/java/org/wigeongrade/decisions/grouping/InheritedGroups.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/InheritedGroups.java
@@ -37,7 +37,7 @@
     private final Map<Key, Long> firstSeenNanos = new HashMap<>();
 
     /** Records that this leader formed or adopted a group. */
-    void owned(GroupName group, long epoch) {
+    void recordOwned(GroupName group, long epoch) {
         owned.add(new Key(group, epoch));
     }
 
@@ -97,7 +97,7 @@
                         .stream())
                 .collect(ImmutableList.toImmutableList());
         adopted.forEach(group -> {
-            owned(group.name, group.epoch);
+            recordOwned(group.name, group.epoch);
             endedNanos.remove(new Key(group.name, group.epoch));
         });
         return adopted;
--- a/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/ManagedGroup.java
@@ -202,9 +202,9 @@
     }
 
     private static boolean isLost(GroupMember member) {
-        final Optional<OrderAnswer> response = member.responseTo(GroupOrderKind.PROBE);
+        final Optional<OrderResponse> response = member.responseTo(GroupOrderKind.PROBE);
         final boolean processGone = response.filter(
-                        given -> given == OrderAnswer.NO_LISTENER || given == OrderAnswer.ENDED)
+                        given -> given == OrderResponse.NO_LISTENER || given == OrderResponse.ENDED)
                 .isPresent();
         return processGone || member.unansweredOrders() >= GroupTimings.MAX_UNANSWERED_PROBES;
     }
@@ -227,7 +227,7 @@
             return;
         }
         if (head().responseTo(GroupOrderKind.LEAVE)
-                .filter(OrderAnswer::isFromLiveVm)
+                .filter(OrderResponse::isFromLiveVm)
                 .isPresent()) {
             enterPhase(GroupPhase.ENDED, cause, context.nowNanos());
             return;
@@ -239,7 +239,7 @@
         headClosed = headClosed || isClosed(head());
         final GroupOrderKind next = headClosed ? GroupOrderKind.LEAVE : GroupOrderKind.CLOSE_NOW;
         final boolean begun =
-                head().responseTo(next).filter(OrderAnswer.BEGUN::equals).isPresent();
+                head().responseTo(next).filter(OrderResponse.BEGUN::equals).isPresent();
         final long resendNanos = begun ? GroupTimings.CLOSING_POLL_NANOS : GroupTimings.ORDER_RESEND_NANOS;
         if (head().isDue(next, resendNanos, context.nowNanos())) {
             sendOrder(head(), next, context);
@@ -247,13 +247,13 @@
     }
 
     /**
-     * Returns whether the head is closed: it responded to the order to close with {@link OrderAnswer#DONE}, or
+     * Returns whether the head is closed: it responded to the order to close with {@link OrderResponse#DONE}, or
      * refused it because it is not open in this group.
      */
     private static boolean isClosed(GroupMember head) {
         return head.responseTo(GroupOrderKind.CLOSE_NOW)
                 .or(() -> head.responseTo(GroupOrderKind.CLOSE_WHEN_DONE))
-                .filter(response -> response == OrderAnswer.DONE || response == OrderAnswer.REFUSED)
+                .filter(response -> response == OrderResponse.DONE || response == OrderResponse.REFUSED)
                 .isPresent();
     }
 
@@ -289,7 +289,7 @@
 
     private static boolean hasLeft(GroupMember member) {
         return member.responseTo(GroupOrderKind.LEAVE)
-                .filter(OrderAnswer::isFromLiveVm)
+                .filter(OrderResponse::isFromLiveVm)
                 .isPresent();
     }
 
@@ -356,7 +356,7 @@
 
     private static boolean cannotJoin(GroupMember member) {
         return member.responseTo(GroupOrderKind.JOIN)
-                        .filter(response -> response == OrderAnswer.REFUSED || response == OrderAnswer.ENDED)
+                        .filter(response -> response == OrderResponse.REFUSED || response == OrderResponse.ENDED)
                         .isPresent()
                 || member.unansweredOrders() > 1;
     }
--- a/src/main/java/org/wigeongrade/decisions/grouping/OrderAnswer.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/OrderResponse.java
@@ -1,7 +1,7 @@
 package org.wigeongrade.decisions.grouping;
 
 /** The response to an order. Immutable; safe for use from any thread. */
-public enum OrderAnswer {
+public enum OrderResponse {
     /** The VM has started to carry out the order. */
     BEGUN,
     /** The order is carried out, or there was nothing left to do. */
--- a/src/main/java/org/wigeongrade/decisions/grouping/WeightLoadLimiter.java
+++ b/src/main/java/org/wigeongrade/decisions/grouping/WeightLoadLimiter.java
@@ -19,7 +19,7 @@
     private final Deque<Long> startsNanos = new ArrayDeque<>();
 
     /** Records that callers send requests; the store does not count earlier loads. */
-    void callersStarted() {
+    void recordCallersStarted() {
         callersStarted = true;
     }
 
--- a/src/main/java/org/wigeongrade/decisions/outcomes/AttemptOutcome.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/AttemptOutcome.java
@@ -18,7 +18,7 @@
         return new AttemptOutcome(classify(facts));
     }
 
-    public RunStatus claim() {
+    public RunStatus runStatus() {
         return event.runStatus();
     }
 
--- a/src/main/java/org/wigeongrade/decisions/outcomes/Claim.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/Claim.java
@@ -1,7 +1,7 @@
 package org.wigeongrade.decisions.outcomes;
 
 import org.wigeongrade.decisions.control.Command;
-import org.wigeongrade.decisions.control.StoredAnswer;
+import org.wigeongrade.decisions.control.StoredResponse;
 import org.wigeongrade.errors.RunStatus;
 import org.wigeongrade.ids.NodeName;
 import org.wigeongrade.ids.OrganisationName;
@@ -25,9 +25,9 @@
         long outcomeDeadlineEpochMs,
         long retainUntilEpochMs,
         RunStatus outcome,
-        StoredAnswer answer) {
+        StoredResponse answer) {
     /** Returns a copy of this claim with the outcome of its send, kept until {@code retainUntilEpochMs}. */
-    Claim finished(RunStatus outcome, StoredAnswer answer, long retainUntilEpochMs) {
+    Claim finished(RunStatus outcome, StoredResponse answer, long retainUntilEpochMs) {
         return new Claim(
                 organisation,
                 idempotencyKey,
--- a/src/main/java/org/wigeongrade/fleet/control/LeaderTerm.java
+++ b/src/main/java/org/wigeongrade/fleet/control/LeaderTerm.java
@@ -13,7 +13,7 @@
 import org.wigeongrade.decisions.grouping.GroupPhaseChange;
 import org.wigeongrade.decisions.grouping.GroupPlanner;
 import org.wigeongrade.decisions.grouping.GroupTimings;
-import org.wigeongrade.decisions.grouping.OrderAnswer;
+import org.wigeongrade.decisions.grouping.OrderResponse;
 import org.wigeongrade.decisions.grouping.ServingGroup;
 import org.wigeongrade.decisions.outcomes.CrashReport;
 import org.wigeongrade.decisions.outcomes.CrashSuspects;
@@ -98,8 +98,8 @@
     }
 
     /** Passes the outcome of an order to every planner. */
-    synchronized void handleOrderAnswer(GroupOrder order, OrderAnswer answer, long nowNanos) {
-        planners.values().forEach(planner -> planner.recordAnswer(order, answer, nowNanos));
+    synchronized void handleOrderAnswer(GroupOrder order, OrderResponse answer, long nowNanos) {
+        planners.values().forEach(planner -> planner.recordResponse(order, answer, nowNanos));
     }
 
     /** Records the report of an entry node and writes the changes that the node does not have yet. */
@@ -126,7 +126,7 @@
                 service.name(), name -> new GroupPlanner(term, timings, this::logGroupChange, startedNanos));
         final EngineProfile engine = service.engine().orElseThrow();
         if (!settled) {
-            planner.takeOver(engine, serviceVms, nowNanos);
+            planner.adoptCompleteGroups(engine, serviceVms, nowNanos);
         }
         final ImmutableList<GroupOrder> orders = settled
                 ? planner.plan(engine, serviceVms, entryReports.evidenceByVm(nowNanos), nowNanos)
--- a/src/main/java/org/wigeongrade/fleet/control/OrderCodec.java
+++ b/src/main/java/org/wigeongrade/fleet/control/OrderCodec.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import org.wigeongrade.decisions.grouping.GroupOrder;
-import org.wigeongrade.decisions.grouping.OrderAnswer;
+import org.wigeongrade.decisions.grouping.OrderResponse;
 import org.wigeongrade.fleet.net.OneShotHttpClient;
 
 /** Encodes orders to endpoint VMs as HTTP. Implementations are stateless and safe for use from any thread. */
@@ -11,5 +11,5 @@
     FullHttpRequest encode(GroupOrder order);
 
     /** Returns the outcome of the order that the response reports. */
-    OrderAnswer decode(GroupOrder order, OneShotHttpClient.Response response);
+    OrderResponse decode(GroupOrder order, OneShotHttpClient.Response response);
 }
--- a/src/main/java/org/wigeongrade/fleet/control/OrderSender.java
+++ b/src/main/java/org/wigeongrade/fleet/control/OrderSender.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import org.wigeongrade.decisions.grouping.GroupOrder;
 import org.wigeongrade.decisions.grouping.GroupOrderKind;
-import org.wigeongrade.decisions.grouping.OrderAnswer;
+import org.wigeongrade.decisions.grouping.OrderResponse;
 import org.wigeongrade.fleet.net.OneShotHttpClient;
 import org.wigeongrade.logging.EventLog;
 import org.wigeongrade.logging.LogEvent;
@@ -33,7 +33,7 @@
      * Sends an order and calls {@code onOutcome} with the outcome in the response, or with the outcome that a failure
      * implies.
      */
-    void send(GroupOrder order, BiConsumer<GroupOrder, OrderAnswer> onOutcome) {
+    void send(GroupOrder order, BiConsumer<GroupOrder, OrderResponse> onOutcome) {
         final HostAndPort target = HostAndPort.fromString(order.address());
         final InetSocketAddress address =
                 new InetSocketAddress(InetAddresses.forString(target.getHost()), target.getPort());
@@ -46,8 +46,8 @@
         final var unused = httpClient
                 .send(address, codec.encode(order), timeoutMs(order.kind()))
                 .whenComplete((response, failure) -> {
-                    final OrderAnswer outcome = failure == null ? codec.decode(order, response) : outcomeOf(failure);
-                    if (outcome != OrderAnswer.BEGUN && outcome != OrderAnswer.DONE) {
+                    final OrderResponse outcome = failure == null ? codec.decode(order, response) : outcomeOf(failure);
+                    if (outcome != OrderResponse.BEGUN && outcome != OrderResponse.DONE) {
                         final String cause = failure == null ? "status " + response.status() : failure.toString();
                         events.write(
                                 LogEvent.ORDER_REFUSED,
@@ -64,9 +64,9 @@
         return kind == GroupOrderKind.PROBE ? PROBE_TIMEOUT_MS : ORDER_TIMEOUT_MS;
     }
 
-    private static OrderAnswer outcomeOf(Throwable failure) {
+    private static OrderResponse outcomeOf(Throwable failure) {
         final boolean refused = failure instanceof ConnectException
                 && String.valueOf(failure.getMessage()).contains("refused");
-        return refused ? OrderAnswer.NO_LISTENER : OrderAnswer.NONE;
+        return refused ? OrderResponse.NO_LISTENER : OrderResponse.NONE;
     }
 }
--- a/src/main/java/org/wigeongrade/fleet/entry/EndpointAttempt.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/EndpointAttempt.java
@@ -136,7 +136,7 @@
         stopTracking();
         endpoint.recordFailure(services.nowNanos());
         services.registry().recordCrash(exchange.digest(), endpoint);
-        exchange.mayHaveRun(
+        exchange.onMayHaveRun(
                 this,
                 exchange.stream().hasBegun() ? RetryReason.STREAM_CUT_SHORT : RetryReason.ANSWER_CUT_SHORT,
                 cause);
@@ -145,7 +145,7 @@
     private void finishStream() {
         if (eventSplitter.hasPartialEvent()) {
             endpoint.recordFailure(services.nowNanos());
-            exchange.mayHaveRun(this, RetryReason.STREAM_CUT_SHORT, "the stream ended within an event");
+            exchange.onMayHaveRun(this, RetryReason.STREAM_CUT_SHORT, "the stream ended within an event");
             return;
         }
         endpoint.recordSuccess();
@@ -176,7 +176,7 @@
                         cause);
         cancel();
         endpoint.recordFailure(services.nowNanos());
-        exchange.mayHaveRun(this, RetryReason.ANSWER_MISMATCHED, cause);
+        exchange.onMayHaveRun(this, RetryReason.ANSWER_MISMATCHED, cause);
     }
 
     private boolean isStream() {
--- a/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
+++ b/src/main/java/org/wigeongrade/fleet/entry/Exchange.java
@@ -51,7 +51,7 @@
     private long deadlineNanos;
     private int attempts;
     /** Number of failed attempts whose request an endpoint may have run. */
-    private int mayHaveRun;
+    private int attemptsThatMayHaveRun;
 
     private boolean ended;
 
@@ -146,7 +146,7 @@
                     ErrorKind.STOPPING.retryAfterMs());
             return;
         }
-        final Placement placement = place(mayHaveRun > 0, remainingMs, nowNanos);
+        final Placement placement = place(attemptsThatMayHaveRun > 0, remainingMs, nowNanos);
         if (placement.endpoint().isEmpty()) {
             final boolean busy = placement.refusal().equals(Optional.of(Placement.Refusal.ALL_BUSY));
             failOrRefuse(
@@ -276,11 +276,11 @@
     }
 
     /** Handles an attempt that ended without a complete response, although the endpoint may have run the request. */
-    void mayHaveRun(EndpointAttempt attempt, RetryReason reason, String cause) {
+    void onMayHaveRun(EndpointAttempt attempt, RetryReason reason, String cause) {
         currentAttempt = Optional.empty();
-        mayHaveRun++;
+        attemptsThatMayHaveRun++;
         final boolean retryable = route.orElseThrow().mayRetry()
-                && mayHaveRun < route.get().maxAttempts()
+                && attemptsThatMayHaveRun < route.get().maxAttempts()
                 && attempts < MAX_ATTEMPTS
                 && stream.isResumable();
         if (retryable && tryReserveRetry()) {
@@ -293,7 +293,7 @@
     /** Handles a complete error response of an endpoint; it is forwarded to the caller if no retry succeeds. */
     void onErrorResponse(EndpointAttempt attempt, BufferedResponse response) {
         errorResponse = Optional.of(response);
-        mayHaveRun(attempt, RetryReason.ENDPOINT_FAILED, "the endpoint responded with status " + response.status());
+        onMayHaveRun(attempt, RetryReason.ENDPOINT_FAILED, "the endpoint responded with status " + response.status());
     }
 
     /**
@@ -307,7 +307,7 @@
     /** Sends the request to another endpoint after {@link #tryReserveFailover}. */
     void failOver(EndpointAttempt attempt, RetryReason reason, String cause) {
         currentAttempt = Optional.empty();
-        mayHaveRun++;
+        attemptsThatMayHaveRun++;
         retry(attempt, reason, cause);
     }
 
@@ -319,7 +319,7 @@
         final long nowNanos = services.nowNanos();
         final long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - nowNanos);
         return route.orElseThrow().mayRetry()
-                && mayHaveRun + 1 < route.get().maxAttempts()
+                && attemptsThatMayHaveRun + 1 < route.get().maxAttempts()
                 && attempts < MAX_ATTEMPTS
                 && remainingMs >= MIN_ATTEMPT_MS
                 && stream.isResumable()
@@ -362,7 +362,7 @@
             return;
         }
         currentAttempt.ifPresent(EndpointAttempt::cancel);
-        final boolean sent = mayHaveRun > 0 || currentAttempt.isPresent();
+        final boolean sent = attemptsThatMayHaveRun > 0 || currentAttempt.isPresent();
         currentAttempt = Optional.empty();
         if (sent) {
             fail(ErrorKind.ENDPOINT_TIMEOUT, "the deadline passed", 0);
@@ -372,7 +372,7 @@
     }
 
     private void failOrRefuse(ErrorKind kind, String cause, long retryAfterMs) {
-        if (mayHaveRun > 0) {
+        if (attemptsThatMayHaveRun > 0) {
             fail(
                     route.orElseThrow().mayRetry() ? ErrorKind.ENDPOINT_FAILED : ErrorKind.OUTCOME_UNKNOWN,
                     kind.code() + ", " + cause,
--- a/src/main/java/org/wigeongrade/nodes/entry/EntryRole.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/EntryRole.java
@@ -37,10 +37,10 @@
     private final AtomicBoolean stopping = new AtomicBoolean();
     private final HeldShares shares = new HeldShares();
     private final OrganisationAdmission admission = new OrganisationAdmission(shares);
-    private final OrganisationUsage organisationUse = new OrganisationUsage(ORGANISATION_ACTIVE_NANOS);
+    private final OrganisationUsage organisationUsage = new OrganisationUsage(ORGANISATION_ACTIVE_NANOS);
     private final SuspectTable suspects;
-    private final PrefixIndex prefixes = new PrefixIndex(MAX_BLOCKS_PER_ENGINE);
-    private final RetryBudget retries = new RetryBudget(RETRIES_PER_REQUEST, RETRY_RESERVE);
+    private final PrefixIndex prefixIndex = new PrefixIndex(MAX_BLOCKS_PER_ENGINE);
+    private final RetryBudget retryBudget = new RetryBudget(RETRIES_PER_REQUEST, RETRY_RESERVE);
     private final UnreachableEndpoints unreachable = new UnreachableEndpoints(UNREACHABLE_NANOS);
     private final AnnouncementInbox inbox = new AnnouncementInbox();
     private final DecisionRecords decisions = new DecisionRecords();
@@ -94,20 +94,20 @@
         return admission;
     }
 
-    public OrganisationUsage organisationUse() {
-        return organisationUse;
+    public OrganisationUsage organisationUsage() {
+        return organisationUsage;
     }
 
     public SuspectTable suspects() {
         return suspects;
     }
 
-    public PrefixIndex prefixes() {
-        return prefixes;
+    public PrefixIndex prefixIndex() {
+        return prefixIndex;
     }
 
-    public RetryBudget retries() {
-        return retries;
+    public RetryBudget retryBudget() {
+        return retryBudget;
     }
 
     public AnnouncementInbox inbox() {
--- a/src/main/java/org/wigeongrade/nodes/entry/ViewPuller.java
+++ b/src/main/java/org/wigeongrade/nodes/entry/ViewPuller.java
@@ -200,7 +200,7 @@
             final EndpointView before = knownEndpoint.getValue();
             final Optional<EndpointView> after = next.endpoint(knownEndpoint.getKey());
             if (after.isEmpty()) {
-                entry.prefixes().remove(knownEndpoint.getKey());
+                entry.prefixIndex().remove(knownEndpoint.getKey());
                 continue;
             }
             final boolean restarted = before.incarnation() != after.get().incarnation();
@@ -223,7 +223,7 @@
 
     private void applyCacheEvents(PullReply reply) {
         reply.getCacheEvents()
-                .forEach(event -> entry.prefixes()
+                .forEach(event -> entry.prefixIndex()
                         .apply(
                                 new EndpointId(event.getEndpoint()),
                                 event.getIncarnation(),
--- a/src/main/java/org/wigeongrade/platform/PlatformOrderCodec.java
+++ b/src/main/java/org/wigeongrade/platform/PlatformOrderCodec.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.wigeongrade.decisions.grouping.GroupOrder;
 import org.wigeongrade.decisions.grouping.GroupOrderKind;
-import org.wigeongrade.decisions.grouping.OrderAnswer;
+import org.wigeongrade.decisions.grouping.OrderResponse;
 import org.wigeongrade.fleet.control.OrderCodec;
 import org.wigeongrade.fleet.net.OneShotHttpClient;
 import org.wigeongrade.ids.VmName;
@@ -44,12 +44,12 @@
     }
 
     @Override
-    public OrderAnswer decode(GroupOrder order, OneShotHttpClient.Response response) {
+    public OrderResponse decode(GroupOrder order, OneShotHttpClient.Response response) {
         return switch (response.status()) {
-            case OK -> OrderAnswer.DONE;
-            case ACCEPTED -> OrderAnswer.BEGUN;
-            case MISDIRECTED -> OrderAnswer.ENDED;
-            default -> OrderAnswer.REFUSED;
+            case OK -> OrderResponse.DONE;
+            case ACCEPTED -> OrderResponse.BEGUN;
+            case MISDIRECTED -> OrderResponse.ENDED;
+            default -> OrderResponse.REFUSED;
         };
     }
 
--- a/src/test/java/org/wigeongrade/decisions/control/ControlStateTest.java
+++ b/src/test/java/org/wigeongrade/decisions/control/ControlStateTest.java
@@ -174,7 +174,7 @@
                 "finished",
                 RequestId.of("r1"),
                 RunStatus.COMPLETED,
-                new StoredAnswer(200, "text/plain", new byte[] {1, 2, 3}),
+                new StoredResponse(200, "text/plain", new byte[] {1, 2, 3}),
                 1_000));
 
         final byte[] bytes = ControlCodec.encode(state.snapshot());
--- a/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/SimulatedFleet.java
@@ -176,12 +176,12 @@
             schedule(2_000 + random.nextInt(10_000), () -> executeIfReachable(vm, order));
         }
         if (late || vm.partitioned || vm.ended) {
-            schedule(timeoutMs(order), () -> leader.recordAnswer(order, OrderAnswer.NONE, nanos(nowMs)));
+            schedule(timeoutMs(order), () -> leader.recordResponse(order, OrderResponse.NONE, nanos(nowMs)));
             return;
         }
         schedule(5, () -> {
-            final OrderAnswer response = vm.ended ? OrderAnswer.NONE : vm.execute(order);
-            schedule(5, () -> leader.recordAnswer(order, response, nanos(nowMs)));
+            final OrderResponse response = vm.ended ? OrderResponse.NONE : vm.execute(order);
+            schedule(5, () -> leader.recordResponse(order, response, nanos(nowMs)));
         });
     }
 
--- a/src/test/java/org/wigeongrade/decisions/grouping/SimulatedVm.java
+++ b/src/test/java/org/wigeongrade/decisions/grouping/SimulatedVm.java
@@ -68,12 +68,12 @@
         return Math.max(0, fleet.nowMs() - stalledSinceMs);
     }
 
-    OrderAnswer execute(GroupOrder order) {
+    OrderResponse execute(GroupOrder order) {
         if (order.kind() == GroupOrderKind.PROBE) {
-            return OrderAnswer.DONE;
+            return OrderResponse.DONE;
         }
         if (order.fencingTerm() < highestFencingTerm) {
-            return OrderAnswer.REFUSED;
+            return OrderResponse.REFUSED;
         }
         highestFencingTerm = order.fencingTerm();
         if (order.kind() == GroupOrderKind.JOIN) {
@@ -84,7 +84,7 @@
         }
         final boolean inThisGroup = order.group().equals(group) && order.epoch() == epoch;
         if (!inThisGroup) {
-            return OrderAnswer.REFUSED;
+            return OrderResponse.REFUSED;
         }
         return switch (order.kind()) {
             case OPEN -> open();
@@ -94,12 +94,12 @@
         };
     }
 
-    private OrderAnswer join(GroupOrder order) {
+    private OrderResponse join(GroupOrder order) {
         if (order.group().equals(group) && order.epoch() == epoch) {
-            return OrderAnswer.DONE;
+            return OrderResponse.DONE;
         }
         if (order.epoch() < highestEpoch) {
-            return OrderAnswer.REFUSED;
+            return OrderResponse.REFUSED;
         }
         fleet.checkNotServingBeforeJoin(this, order);
         highestEpoch = order.epoch();
@@ -110,13 +110,13 @@
         nextStateChangeMs = fleet.nowMs() + joinMs(order.model());
         joiningModel = order.model();
         sendHeartbeatSoon();
-        return OrderAnswer.BEGUN;
+        return OrderResponse.BEGUN;
     }
 
     /** Loads a model onto the host, where it replaces the previous one; the weights in memory stay. */
-    private OrderAnswer stage(ModelVersionName model) {
+    private OrderResponse stage(ModelVersionName model) {
         if (staged.contains(model)) {
-            return OrderAnswer.DONE;
+            return OrderResponse.DONE;
         }
         fleet.stagingLoads++;
         fleet.schedule(fleet.loadMs(model), () -> {
@@ -124,7 +124,7 @@
             staged.add(model);
             sendHeartbeatSoon();
         });
-        return OrderAnswer.BEGUN;
+        return OrderResponse.BEGUN;
     }
 
     /**
@@ -147,32 +147,32 @@
         return staged.contains(model) ? fleet.model(model).warmupMs() : fleet.loadMs(model);
     }
 
-    private OrderAnswer open() {
+    private OrderResponse open() {
         if (state == GroupState.OPEN) {
-            return OrderAnswer.DONE;
+            return OrderResponse.DONE;
         }
         if (state != GroupState.READY) {
-            return OrderAnswer.REFUSED;
+            return OrderResponse.REFUSED;
         }
         nextStateChangeMs = fleet.nowMs() + FORMATION_MS;
-        return OrderAnswer.BEGUN;
+        return OrderResponse.BEGUN;
     }
 
-    private OrderAnswer close() {
+    private OrderResponse close() {
         if (state == GroupState.OPEN) {
             state = GroupState.CLOSING;
             nextStateChangeMs = fleet.nowMs() + 60;
-            return OrderAnswer.BEGUN;
+            return OrderResponse.BEGUN;
         }
-        return state == GroupState.READY ? OrderAnswer.DONE : OrderAnswer.REFUSED;
+        return state == GroupState.READY ? OrderResponse.DONE : OrderResponse.REFUSED;
     }
 
-    private OrderAnswer leave() {
+    private OrderResponse leave() {
         group = null;
         state = null;
         nextStateChangeMs = Long.MAX_VALUE;
         sendHeartbeatSoon();
-        return OrderAnswer.DONE;
+        return OrderResponse.DONE;
     }
 
     /** Advances the VM to the current time; returns a heartbeat if one is due and can be sent. */
--- a/src/test/java/org/wigeongrade/decisions/outcomes/ClaimTableTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/ClaimTableTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.wigeongrade.decisions.control.Command;
 import org.wigeongrade.decisions.control.CommandResult;
-import org.wigeongrade.decisions.control.StoredAnswer;
+import org.wigeongrade.decisions.control.StoredResponse;
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.errors.RunStatus;
 import org.wigeongrade.ids.NodeName;
@@ -153,7 +153,8 @@
     }
 
     private CommandResult finish(String key, String request, RunStatus outcome, long atMs, byte[] body) {
-        final StoredAnswer response = outcome == RunStatus.COMPLETED ? new StoredAnswer(200, "text/plain", body) : null;
+        final StoredResponse response =
+                outcome == RunStatus.COMPLETED ? new StoredResponse(200, "text/plain", body) : null;
         final Command.FinishClaim command = new Command.FinishClaim(
                 OrganisationName.of("carrick"), key, RequestId.of(request), outcome, response, atMs);
         return table.finish(command, atMs, Revision.NONE);
--- a/src/test/java/org/wigeongrade/platform/PlatformOrderCodecTest.java
+++ b/src/test/java/org/wigeongrade/platform/PlatformOrderCodecTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wigeongrade.decisions.grouping.GroupOrder;
 import org.wigeongrade.decisions.grouping.GroupOrderKind;
-import org.wigeongrade.decisions.grouping.OrderAnswer;
+import org.wigeongrade.decisions.grouping.OrderResponse;
 import org.wigeongrade.decisions.log.Bytes;
 import org.wigeongrade.fleet.net.OneShotHttpClient;
 import org.wigeongrade.ids.GroupName;
@@ -42,7 +42,7 @@
 
     @ParameterizedTest
     @CsvSource({"200, DONE", "202, BEGUN", "409, REFUSED", "412, REFUSED", "400, REFUSED", "421, ENDED"})
-    void decodesEachAnswer(int status, OrderAnswer expected) {
+    void decodesEachAnswer(int status, OrderResponse expected) {
         assertThat(codec.decode(
                         order(GroupOrderKind.JOIN),
                         new OneShotHttpClient.Response(status, new DefaultHttpHeaders(), Bytes.EMPTY)))
--- a/src/test/java/org/wigeongrade/platform/soak/SoakNodes.java
+++ b/src/test/java/org/wigeongrade/platform/soak/SoakNodes.java
@@ -124,7 +124,7 @@
         synchronized (locks.get(node)) {
             processes.get(node).freeze();
             Await.sleepMs(forMs);
-            processes.get(node).thaw();
+            processes.get(node).resume();
         }
     }
 
--- a/src/test/java/org/wigeongrade/proof/AtMostOnceProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/AtMostOnceProcessTest.java
@@ -62,7 +62,7 @@
         fleet.process("entry-1").freeze();
         recorder.recordAction("freeze", "entry-1");
         Await.sleepMs(4_000);
-        fleet.process("entry-1").thaw();
+        fleet.process("entry-1").resume();
         recorder.recordAction("resume", "entry-1");
         Await.sleepMs(1_500);
         fleet.process("entry-3").kill();
--- a/src/test/java/org/wigeongrade/proof/ConfigurationProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/ConfigurationProcessTest.java
@@ -58,7 +58,7 @@
         fleet.process("entry-2").freeze();
         recorder.recordAction("freeze", "entry-2");
         Await.sleepMs(3_000);
-        fleet.process("entry-2").thaw();
+        fleet.process("entry-2").resume();
         Await.sleepMs(1_000);
         List.of("entry-1", "entry-2", "entry-3")
                 .forEach(name -> fleet.process(name).kill());
--- a/src/test/java/org/wigeongrade/proof/ManagedProcess.java
+++ b/src/test/java/org/wigeongrade/proof/ManagedProcess.java
@@ -95,7 +95,7 @@
     }
 
     /** Resumes a frozen process with SIGCONT. */
-    public void thaw() {
+    public void resume() {
         signal("-CONT");
     }
 
--- a/src/test/java/org/wigeongrade/proof/ProcessFleet.java
+++ b/src/test/java/org/wigeongrade/proof/ProcessFleet.java
@@ -275,7 +275,7 @@
 
     @Override
     public void close() {
-        processes.values().forEach(ManagedProcess::thaw);
+        processes.values().forEach(ManagedProcess::resume);
         processes.values().forEach(ManagedProcess::close);
         proxies.values().forEach(ProcessFleet::closeProxy);
     }
--- a/src/test/java/org/wigeongrade/proof/ZoneOutProcessTest.java
+++ b/src/test/java/org/wigeongrade/proof/ZoneOutProcessTest.java
@@ -36,7 +36,7 @@
 
         void end(ProcessFleet fleet, String entry) {
             switch (this) {
-                case FROZEN -> fleet.process(entry).thaw();
+                case FROZEN -> fleet.process(entry).resume();
                 case BLACKHOLED -> fleet.setProxyMode(entry, FaultInjectionProxy.Mode.FORWARD);
             }
         }
