--- a/src/main/java/org/wigeongrade/decisions/limits/AdmissionReason.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/AdmissionReason.java
@@ -9,7 +9,7 @@
     TOKEN_RATE_EXCEEDED,
     FAIR_PART_EXCEEDED;
 
-    /** Returns the code as it stands in answers, counters and docs. */
+    /** Returns the code used in responses, counters and docs. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/wigeongrade/decisions/limits/AdmissionRule.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/AdmissionRule.java
@@ -4,15 +4,15 @@
 
 /** One limit of an organisation. Implementations are stateless. */
 interface AdmissionRule {
-    /** All rules, in the order in which they are asked. */
+    /** All rules in evaluation order. */
     ImmutableList<AdmissionRule> ALL =
             ImmutableList.of(new InFlightExceeded(), new RequestRateExceeded(), new TokenRateExceeded());
 
     AdmissionReason reason();
 
     /** Returns whether the limit is declared for the organisation. */
-    boolean applies(AdmissionRequest request);
+    boolean isDeclared(AdmissionRequest request);
 
-    /** Takes the request's part of this VM's share of the limit. */
+    /** Takes what the request needs from this VM's share of the limit. */
     TakeResult take(AdmissionRequest request, ShareHolder shares, long nowNanos);
 }
--- a/src/main/java/org/wigeongrade/decisions/limits/HolderShare.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/AllocatedShare.java
@@ -3,24 +3,24 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * What the leader knows of one live holder of one bounded thing.
+ * The leader's record of one live holder's share of one limited resource.
  *
- * <p>Invariant: {@code charged} is at least what the holder may have in use until its deadline. Not thread-safe;
+ * <p>Invariant: {@code allocated} is at least what the holder may have in use until its deadline. Not thread-safe;
  * {@link ShareLedger} guards it.
  */
-final class HolderShare {
+final class AllocatedShare {
     final NodeName holder;
     final long incarnation;
     private long sequence = -1;
-    private int charged;
+    private int allocated;
     private int wanted;
     private int coldSlots;
     private long deadlineNanos;
     private long warmCompletions;
     private long epoch;
 
-    /** Begins with the counters of the first report, so that only what comes after them is evidence. */
-    HolderShare(NodeName holder, long incarnation, ShareReport first, long nowNanos) {
+    /** Starts from the counters of the first report, so that only later warm completions count. */
+    AllocatedShare(NodeName holder, long incarnation, ShareReport first, long nowNanos) {
         this.holder = holder;
         this.incarnation = incarnation;
         this.warmCompletions = first.warmCompletions();
@@ -40,8 +40,8 @@
         return sequence;
     }
 
-    int charged() {
-        return charged;
+    int allocated() {
+        return allocated;
     }
 
     int coldSlots() {
@@ -52,23 +52,24 @@
         return deadlineNanos;
     }
 
-    FairDivision.Want want() {
-        return new FairDivision.Want(holder, wanted);
+    FairDivision.Demand demand() {
+        return new FairDivision.Demand(holder, wanted);
     }
 
-    /** Returns the answers completed at warm speed that this report adds in its epoch. */
+    /** Returns how many more responses completed at warm speed in the report's epoch than previously reported. */
     long newWarmCompletions(ShareReport report) {
-        long known = report.epoch() == epoch ? warmCompletions : 0;
-        return Math.max(0, report.warmCompletions() - known);
+        long counted = report.epoch() == epoch ? warmCompletions : 0;
+        return Math.max(0, report.warmCompletions() - counted);
     }
 
     /**
-     * Takes over a report; {@code held} are the slots that the holder may use until it applies the next grant. A holder
-     * that reports more counts work whose end it has not heard of yet, or slots that expired before it sent.
+     * Applies a report; {@code heldSlots} are the slots that the holder may use until it applies the next grant. If the
+     * holder reports more than that, it includes work whose end it has not yet noticed, or slots that expired before it
+     * sent the report.
      */
-    void reported(ShareReport report, int held) {
+    void applyReport(ShareReport report, int heldSlots) {
         sequence = report.sequence();
-        charged = held;
+        allocated = heldSlots;
         wanted = Math.max(report.wanted(), report.inUse());
         coldSlots = report.coldSlots();
         epoch = report.epoch();
@@ -76,8 +77,8 @@
     }
 
     /** Records the grant that answers the last report. */
-    void granted(int slots, int newColdSlots, long newDeadlineNanos) {
-        charged = Math.max(charged, slots);
+    void recordGrant(int slots, int newColdSlots, long newDeadlineNanos) {
+        allocated = Math.max(allocated, slots);
         coldSlots = Math.max(coldSlots, newColdSlots);
         deadlineNanos = newDeadlineNanos;
     }
--- a/src/main/java/org/wigeongrade/decisions/limits/FairDivision.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/FairDivision.java
@@ -10,13 +10,14 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * Divides a bound among holders by max-min fairness: no holder gets more than it wants while another gets less than an
- * equal part, and what nobody wants is spread evenly so that an idle holder can begin at once. Stateless.
+ * Divides the slots of a limit among holders by max-min fairness: no holder gets more than it demands while another one
+ * that demands more has less than an equal part. Slots that nobody demands are spread evenly, so that an idle holder
+ * can start work at once. Stateless.
  */
 final class FairDivision {
-    /** One holder and the slots that it wants. */
-    record Want(NodeName holder, int wanted) {
-        int atLeastOne() {
+    /** The number of slots that one holder demands. */
+    record Demand(NodeName holder, int wanted) {
+        int wantedAtLeastOne() {
             return Math.max(1, wanted);
         }
     }
@@ -24,62 +25,62 @@
     private FairDivision() {}
 
     /**
-     * Returns the slots of each holder; they sum to {@code slots}. Where there are too few for all, {@code rotation}
-     * picks who gets one, so that nobody goes without for good.
+     * Returns the slots of each holder; they sum to {@code slots}. If there are fewer slots than holders,
+     * {@code rotation} decides who gets one, so that no holder goes without permanently.
      */
-    static ImmutableMap<NodeName, Integer> divide(int slots, List<Want> wants, long rotation) {
-        if (wants.isEmpty()) {
+    static ImmutableMap<NodeName, Integer> divide(int slots, List<Demand> demands, long rotation) {
+        if (demands.isEmpty()) {
             return ImmutableMap.of();
         }
-        ImmutableList<Want> rotated = rotated(wants, rotation);
-        if (slots < wants.size()) {
+        ImmutableList<Demand> rotated = rotated(demands, rotation);
+        if (slots < demands.size()) {
             return oneEach(slots, rotated);
         }
-        Map<NodeName, Integer> given = new HashMap<>();
-        int left = fill(slots, rotated, given);
-        spread(left, rotated, given);
-        return ImmutableMap.copyOf(given);
+        Map<NodeName, Integer> allotted = new HashMap<>();
+        int remaining = allotDemands(slots, rotated, allotted);
+        allotRemainder(remaining, rotated, allotted);
+        return ImmutableMap.copyOf(allotted);
     }
 
-    /** Gives one slot each to holders that want any, then to the others. */
-    private static ImmutableMap<NodeName, Integer> oneEach(int slots, ImmutableList<Want> rotated) {
-        List<Want> wantingFirst = new ArrayList<>(rotated);
-        wantingFirst.sort(Comparator.comparing(want -> want.wanted() == 0));
-        ImmutableMap.Builder<NodeName, Integer> given = ImmutableMap.builder();
-        for (int i = 0; i < wantingFirst.size(); i++) {
-            given.put(wantingFirst.get(i).holder(), i < slots ? 1 : 0);
+    /** Allots one slot each, first to the holders that demand any and then to the others. */
+    private static ImmutableMap<NodeName, Integer> oneEach(int slots, ImmutableList<Demand> rotated) {
+        List<Demand> demandingFirst = new ArrayList<>(rotated);
+        demandingFirst.sort(Comparator.comparing(demand -> demand.wanted() == 0));
+        ImmutableMap.Builder<NodeName, Integer> allotted = ImmutableMap.builder();
+        for (int i = 0; i < demandingFirst.size(); i++) {
+            allotted.put(demandingFirst.get(i).holder(), i < slots ? 1 : 0);
         }
-        return given.buildOrThrow();
+        return allotted.buildOrThrow();
     }
 
-    /** Gives each holder at most what it wants (at least one) and returns what is left. */
-    private static int fill(int slots, ImmutableList<Want> rotated, Map<NodeName, Integer> given) {
-        List<Want> ascending = new ArrayList<>(rotated);
-        ascending.sort(Comparator.comparingInt(Want::atLeastOne));
-        int left = slots;
+    /** Allots to each holder at most what it demands (but at least 1) and returns the remaining slots. */
+    private static int allotDemands(int slots, ImmutableList<Demand> rotated, Map<NodeName, Integer> allotted) {
+        List<Demand> ascending = new ArrayList<>(rotated);
+        ascending.sort(Comparator.comparingInt(Demand::wantedAtLeastOne));
+        int remaining = slots;
         for (int i = 0; i < ascending.size(); i++) {
-            Want want = ascending.get(i);
-            int part = Math.min(want.atLeastOne(), left / (ascending.size() - i));
-            given.put(want.holder(), part);
-            left -= part;
+            Demand demand = ascending.get(i);
+            int part = Math.min(demand.wantedAtLeastOne(), remaining / (ascending.size() - i));
+            allotted.put(demand.holder(), part);
+            remaining -= part;
         }
-        return left;
+        return remaining;
     }
 
-    private static void spread(int left, ImmutableList<Want> rotated, Map<NodeName, Integer> given) {
-        int part = left / rotated.size();
-        int remainder = left % rotated.size();
+    private static void allotRemainder(int remaining, ImmutableList<Demand> rotated, Map<NodeName, Integer> allotted) {
+        int part = remaining / rotated.size();
+        int remainder = remaining % rotated.size();
         for (int i = 0; i < rotated.size(); i++) {
             int extra = part + (i < remainder ? 1 : 0);
-            given.merge(rotated.get(i).holder(), extra, Integer::sum);
+            allotted.merge(rotated.get(i).holder(), extra, Integer::sum);
         }
     }
 
-    private static ImmutableList<Want> rotated(List<Want> wants, long rotation) {
-        List<Want> byName = new ArrayList<>(wants);
-        byName.sort(Comparator.comparing(Want::holder));
+    private static ImmutableList<Demand> rotated(List<Demand> demands, long rotation) {
+        List<Demand> byName = new ArrayList<>(demands);
+        byName.sort(Comparator.comparing(Demand::holder));
         int start = (int) Math.floorMod(rotation, (long) byName.size());
-        ImmutableList.Builder<Want> result = ImmutableList.builder();
+        ImmutableList.Builder<Demand> result = ImmutableList.builder();
         result.addAll(byName.subList(start, byName.size()));
         result.addAll(byName.subList(0, start));
         return result.build();
--- a/src/main/java/org/wigeongrade/decisions/limits/FairPart.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/FairPart.java
@@ -1,12 +1,13 @@
 package org.wigeongrade.decisions.limits;
 
 /**
- * Finds an organisation that uses more than an equal part of this VM's slots while they are nearly used up, so that a
- * large organisation leaves room for a small one. Nothing is held back while there are slots to spare. Stateless.
+ * Checks whether an organisation uses more than its fair share (an equal part) of this VM's slots while they are nearly
+ * used up, so that a large organisation leaves capacity for a small one. No organisation is limited while slots are
+ * available. Stateless.
  */
 public final class FairPart {
-    /** Part of the slots in use from which an equal part binds. */
-    private static final double NEARLY_USED_UP = 0.9;
+    /** Fraction of the granted slots that must be in use for the fair share to be enforced. */
+    private static final double CONGESTION_THRESHOLD = 0.9;
 
     private FairPart() {}
 
@@ -14,15 +15,15 @@
      * Returns whether one more request of the organisation is refused as {@link AdmissionReason#FAIR_PART_EXCEEDED}.
      *
      * @param organisationInFlight requests of the organisation in flight from this VM for the target
-     * @param activeOrganisations organisations with requests for the target from this VM in the last seconds
+     * @param activeOrganisations organisations that sent requests for the target through this VM in the last seconds
      * @param slotsInUse this VM's slots in use over all endpoints of the target
      * @param slots this VM's granted slots over all endpoints of the target
      */
     public static boolean isExceeded(int organisationInFlight, int activeOrganisations, int slotsInUse, int slots) {
-        if (slotsInUse < slots * NEARLY_USED_UP) {
+        if (slotsInUse < slots * CONGESTION_THRESHOLD) {
             return false;
         }
-        int part = Math.max(1, slots / Math.max(1, activeOrganisations));
-        return organisationInFlight >= part;
+        int fairShare = Math.max(1, slots / Math.max(1, activeOrganisations));
+        return organisationInFlight >= fairShare;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/limits/HeldShare.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/HeldShare.java
@@ -5,19 +5,19 @@
 import java.util.Set;
 
 /**
- * What one entry VM holds of one bounded thing.
+ * The share of one limited resource that this entry VM holds.
  *
- * <p>Invariant: no slot is given out past the deadline or while as many slots are in use as may be. Not thread-safe;
+ * <p>Invariant: no slot is handed out after the deadline or while all granted slots are in use. Not thread-safe;
  * {@link ShareHolder} guards it.
  */
 final class HeldShare {
-    private static final long IN_FLIGHT_COME_BACK_MS = 500;
+    private static final long IN_FLIGHT_RETRY_AFTER_MS = 500;
 
     private final ShareKey key;
     private final Set<Long> inUse = new HashSet<>();
     private long nextSlotNumber;
     private long sequence;
-    private long oldestAnswerableSequence;
+    private long oldestAcceptedSequence;
     private int granted;
     private int coldSlots;
     private long deadlineNanos = Long.MIN_VALUE;
@@ -27,42 +27,42 @@
     private long coldSignEpoch = ShareReport.NO_COLD_SIGN;
     private long epoch;
     private long firstSlotOfEpoch;
-    private final Optional<RateUse> rate;
+    private final Optional<RateLimiter> rateLimiter;
 
     HeldShare(ShareKey key) {
         this.key = key;
-        this.rate = key.kind().isRate() ? Optional.of(new RateUse(key.kind())) : Optional.empty();
+        this.rateLimiter = key.kind().isRate() ? Optional.of(new RateLimiter(key.kind())) : Optional.empty();
     }
 
     TakeResult take(long amount, long nowNanos) {
-        if (rate.isPresent()) {
-            return takeRate(rate.get(), amount, nowNanos);
+        if (rateLimiter.isPresent()) {
+            return takeRate(rateLimiter.get(), amount, nowNanos);
         }
-        if (mayAcquire(nowNanos)) {
+        if (canAcquire(nowNanos)) {
             return new TakeResult.Taken(acquire());
         }
-        refused();
-        return new TakeResult.ComeBack(IN_FLIGHT_COME_BACK_MS);
+        countRefusal();
+        return new TakeResult.RetryLater(IN_FLIGHT_RETRY_AFTER_MS);
     }
 
-    private TakeResult takeRate(RateUse use, long amount, long nowNanos) {
-        use.setRate(usable(nowNanos), nowNanos);
-        if (use.tryTake(amount, nowNanos)) {
+    private TakeResult takeRate(RateLimiter limiter, long amount, long nowNanos) {
+        limiter.setRate(usableSlots(nowNanos), nowNanos);
+        if (limiter.tryTake(amount, nowNanos)) {
             return new TakeResult.Taken(new Slot(key, nextSlotNumber++, amount, deadlineNanos));
         }
-        return new TakeResult.ComeBack(use.comeBackMs(nowNanos));
+        return new TakeResult.RetryLater(limiter.retryAfterMs(nowNanos));
     }
 
-    /** Gives back an amount of a rate that was not used; negative if more was used than taken. */
-    void giveBackAmount(long amount) {
-        rate.ifPresent(use -> use.giveBack(amount));
+    /** Returns an unused amount to the rate limiter; a negative amount means that more was used than taken. */
+    void refund(long amount) {
+        rateLimiter.ifPresent(limiter -> limiter.refund(amount));
     }
 
-    boolean mayAcquire(long nowNanos) {
-        return inUse.size() < usable(nowNanos);
+    boolean canAcquire(long nowNanos) {
+        return inUse.size() < usableSlots(nowNanos);
     }
 
-    int usable(long nowNanos) {
+    int usableSlots(long nowNanos) {
         return deadlineNanos == Long.MIN_VALUE || nowNanos - deadlineNanos >= 0 ? 0 : granted;
     }
 
@@ -77,7 +77,7 @@
         return new Slot(key, number, 1, deadlineNanos);
     }
 
-    void refused() {
+    void countRefusal() {
         refusedSinceReport++;
     }
 
@@ -85,47 +85,49 @@
         return inUse.remove(slot.number());
     }
 
-    /** Counts an answer at warm speed, unless its work began before the last cold sign was known. */
-    void completedWarm(Slot slot) {
+    /** Counts a response at warm speed, unless its work started before the last cold sign was known. */
+    void recordWarmCompletion(Slot slot) {
         if (slot.number() >= firstSlotOfEpoch) {
             warmCompletions++;
         }
     }
 
-    /** Takes a cold answer as a sign, unless its work began before the last cold sign was known. */
-    void completedCold(Slot slot) {
+    /** Treats a cold response as a cold sign, unless its work started before the last cold sign was known. */
+    void recordColdCompletion(Slot slot) {
         if (slot.number() >= firstSlotOfEpoch) {
-            coldSign();
+            applyColdSign();
         }
     }
 
-    /** Drops to what may be used in a cold start and ignores grants that were given before the leader knew of it. */
-    void coldSign() {
+    /** Lowers the share to its cold slots and ignores grants made before the leader knew of the cold sign. */
+    void applyColdSign() {
         coldSignEpoch = epoch;
         granted = Math.min(granted, coldSlots);
-        oldestAnswerableSequence = sequence + 1;
+        oldestAcceptedSequence = sequence + 1;
     }
 
-    void giveBack() {
+    void relinquish() {
         granted = 0;
         coldSlots = 0;
-        oldestAnswerableSequence = sequence + 1;
+        oldestAcceptedSequence = sequence + 1;
     }
 
-    /** Builds the next report; {@code newSequence} is larger than that of every earlier report of this process. */
+    /**
+     * Builds the next report; {@code newSequence} must be greater than that of every earlier report of this process.
+     */
     ShareReport report(long newSequence, long nowNanos) {
         sequence = newSequence;
-        oldestAnswerableSequence = sequence;
-        int usable = usable(nowNanos);
-        int wanted = rate.map(use -> use.wanted(nowNanos)).orElseGet(this::wantedSlots);
+        oldestAcceptedSequence = sequence;
+        int usableNow = usableSlots(nowNanos);
+        int wanted = rateLimiter.map(limiter -> limiter.wanted(nowNanos)).orElseGet(this::wantedSlots);
         peakInUseSinceReport = inUse.size();
         refusedSinceReport = 0;
-        int usableCold = usable == 0 ? 0 : coldSlots;
+        int usableColdSlots = usableNow == 0 ? 0 : coldSlots;
         return new ShareReport(
-                key, sequence, usable, usableCold, inUse.size(), wanted, epoch, warmCompletions, coldSignEpoch);
+                key, sequence, usableNow, usableColdSlots, inUse.size(), wanted, epoch, warmCompletions, coldSignEpoch);
     }
 
-    private void beginEpoch(long newEpoch) {
+    private void startEpoch(long newEpoch) {
         if (newEpoch != epoch) {
             epoch = newEpoch;
             firstSlotOfEpoch = nextSlotNumber;
@@ -138,10 +140,10 @@
     }
 
     boolean applyGrant(ShareGrant grant, long newDeadlineNanos) {
-        if (grant.reportSequence() < oldestAnswerableSequence) {
+        if (grant.reportSequence() < oldestAcceptedSequence) {
             return false;
         }
-        beginEpoch(grant.epoch());
+        startEpoch(grant.epoch());
         granted = grant.slots();
         coldSlots = grant.coldSlots();
         deadlineNanos = newDeadlineNanos;
--- a/src/main/java/org/wigeongrade/decisions/limits/InFlightExceeded.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/InFlightExceeded.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.limits;
 
-/** Organisation has as many requests in flight as its limit allows. */
+/** Refuses a request of an organisation that has as many requests in flight as its limit allows. */
 final class InFlightExceeded implements AdmissionRule {
     @Override
     public AdmissionReason reason() {
@@ -8,7 +8,7 @@
     }
 
     @Override
-    public boolean applies(AdmissionRequest request) {
+    public boolean isDeclared(AdmissionRequest request) {
         return request.requestsInFlight() > 0;
     }
 
--- a/src/main/java/org/wigeongrade/decisions/limits/OrganisationAdmission.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/OrganisationAdmission.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Admits requests under the fleet-wide limits of their organisations, from this VM's shares of them. Nothing is queued: a
- * refusal comes at once, with the time to come back.
+ * Admits requests under the fleet-wide limits of their organisations, using this VM's shares of those limits. Nothing
+ * is queued: a request over a limit is refused at once, with the time after which to retry.
  *
  * <p>Invariant: a refused request has taken nothing. Safe for use from any thread: all state is in {@link ShareHolder}.
  */
@@ -16,24 +16,24 @@
         this.shares = shares;
     }
 
-    /** Takes the request's part of each declared limit, or nothing. */
+    /** Takes what the request needs under every declared limit, or nothing at all. */
     public AdmissionDecision admit(AdmissionRequest request, long nowNanos) {
         List<Slot> slots = new ArrayList<>();
         for (AdmissionRule rule : AdmissionRule.ALL) {
-            if (!rule.applies(request)) {
+            if (!rule.isDeclared(request)) {
                 continue;
             }
             TakeResult result = rule.take(request, shares, nowNanos);
-            if (result instanceof TakeResult.ComeBack comeBack) {
+            if (result instanceof TakeResult.RetryLater retryLater) {
                 slots.forEach(shares::undo);
-                return new AdmissionDecision.Refused(rule.reason(), comeBack.retryAfterMs());
+                return new AdmissionDecision.Refused(rule.reason(), retryLater.retryAfterMs());
             }
             slots.add(((TakeResult.Taken) result).slot());
         }
         return new AdmissionDecision.Admitted(slots);
     }
 
-    /** Ends an admitted request that used {@code usedTokens}. */
+    /** Releases the slots of an admitted request that used {@code usedTokens}. */
     public void finish(AdmissionDecision.Admitted admitted, long usedTokens) {
         for (Slot slot : admitted.slots()) {
             end(slot, usedTokens);
@@ -42,7 +42,7 @@
 
     private void end(Slot slot, long usedTokens) {
         switch (slot.key().kind()) {
-            case ORGANISATION_TOKENS_PER_MINUTE -> shares.settle(slot, usedTokens);
+            case ORGANISATION_TOKENS_PER_MINUTE -> shares.adjustToUsage(slot, usedTokens);
             case ORGANISATION_REQUEST_RATE -> {}
             case ENDPOINT_SLOTS, ORGANISATION_IN_FLIGHT -> shares.release(slot);
         }
--- a/src/main/java/org/wigeongrade/decisions/limits/RequestRateExceeded.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/RequestRateExceeded.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.limits;
 
-/** Organisation began as many requests in a second as its limit allows. */
+/** Refuses a request of an organisation that has started as many requests per second as its limit allows. */
 final class RequestRateExceeded implements AdmissionRule {
     @Override
     public AdmissionReason reason() {
@@ -8,7 +8,7 @@
     }
 
     @Override
-    public boolean applies(AdmissionRequest request) {
+    public boolean isDeclared(AdmissionRequest request) {
         return request.requestsPerSecond() > 0;
     }
 
--- a/src/main/java/org/wigeongrade/decisions/limits/ShareBound.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/ShareBound.java
@@ -1,19 +1,19 @@
 package org.wigeongrade.decisions.limits;
 
 /**
- * The bound of one thing: {@code slots} when warm, {@code coldSlots} in a cold start (equal to {@code slots} for what
- * has no cold start). {@code longestRunNanos} is the longest time that one piece of work may run. Immutable; safe for
- * use from any thread.
+ * The limit of one resource: {@code slots} when warm, {@code coldSlots} while cold (equal to {@code slots} for a
+ * resource that has no cold start). {@code longestRunNanos} is the longest time that one piece of work may run.
+ * Immutable; safe for use from any thread.
  */
 public record ShareBound(int slots, int coldSlots, long longestRunNanos) {
     public ShareBound {
         if (coldSlots < Math.min(1, slots) || coldSlots > slots) {
-            throw new IllegalArgumentException("share bound has " + coldSlots + " cold slots of " + slots
-                    + " slots: declare 1 <= cold capacity <= capacity");
+            throw new IllegalArgumentException("invalid resource limit: " + coldSlots + " cold slots of " + slots
+                    + " slots; declare 1 <= cold capacity <= capacity");
         }
     }
 
-    /** Returns the bound of a thing that has no cold start. */
+    /** Returns the limit of a resource that has no cold start. */
     public static ShareBound of(int slots, long longestRunNanos) {
         return new ShareBound(slots, slots, longestRunNanos);
     }
--- a/src/main/java/org/wigeongrade/decisions/limits/ShareHolder.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/ShareHolder.java
@@ -8,30 +8,30 @@
 /**
  * An entry VM's table of the shares that it holds.
  *
- * <p>Invariant: for each key the slots in use rise only while they are below the granted slots and the deadline has not
- * passed; slots in use beyond a lowered grant count until they are released. A grant that answers an older report than
- * the last one sent, or a report sent before a cold sign, changes nothing.
+ * <p>Invariant: for each key the slots in use increase only while they are below the granted slots and the deadline has
+ * not passed; slots in use beyond a lowered grant count until they are released. A grant is ignored if it answers a
+ * report older than the last one sent, or one sent before a cold sign.
  *
- * <p>Thread safety: lock order is table, then one share; no method holds two shares at once and none locks anything else
- * inside. All times are on this VM's monotonic clock, in nanoseconds.
+ * <p>Thread safety: the lock order is the table, then one share. No method locks two shares at once or acquires any
+ * other lock while it holds one. All times are on this VM's monotonic clock, in nanoseconds.
  */
 public final class ShareHolder {
     private final Map<ShareKey, HeldShare> shares = new ConcurrentHashMap<>();
     private final AtomicLong reportSequence = new AtomicLong();
 
-    /** Takes a slot for one piece of work; empty if the share is used up or its deadline has passed. */
+    /** Acquires a slot for one piece of work; empty if the share is fully used or its deadline has passed. */
     public Optional<Slot> tryAcquire(ShareKey key, long nowNanos) {
         HeldShare share = share(key);
         synchronized (share) {
-            if (share.mayAcquire(nowNanos)) {
+            if (share.canAcquire(nowNanos)) {
                 return Optional.of(share.acquire());
             }
-            share.refused();
+            share.countRefusal();
             return Optional.empty();
         }
     }
 
-    /** Takes part of a share of any kind: one slot of work in flight, or {@code amount} of a rate. */
+    /** Takes from a share of any kind: one slot for work in flight, or {@code amount} of a rate. */
     public TakeResult take(ShareKey key, long amount, long nowNanos) {
         HeldShare share = share(key);
         synchronized (share) {
@@ -39,27 +39,27 @@
         }
     }
 
-    /** Gives back all that was taken, for work that did not begin. */
+    /** Returns everything that was taken, for work that did not start. */
     public void undo(Slot slot) {
         HeldShare share = share(slot.key());
         synchronized (share) {
             if (slot.key().kind().isRate()) {
-                share.giveBackAmount(slot.amount());
+                share.refund(slot.amount());
                 return;
             }
             share.release(slot);
         }
     }
 
-    /** Corrects the amount taken of a rate to what was used when the work ended. */
-    public void settle(Slot slot, long usedAmount) {
+    /** Corrects the amount taken from a rate to the amount used when the work ended. */
+    public void adjustToUsage(Slot slot, long usedAmount) {
         HeldShare share = share(slot.key());
         synchronized (share) {
-            share.giveBackAmount(slot.amount() - usedAmount);
+            share.refund(slot.amount() - usedAmount);
         }
     }
 
-    /** Gives a slot back; returns false if it was given back before. */
+    /** Releases a slot; returns false if it was already released. */
     public boolean release(Slot slot) {
         HeldShare share = share(slot.key());
         synchronized (share) {
@@ -67,42 +67,50 @@
         }
     }
 
-    /** Counts an answer that completed at warm speed: evidence that a cold endpoint can bear more. */
+    /** Counts a response that completed at warm speed, which shows that a cold endpoint can handle more requests. */
     public void completedWarm(Slot slot) {
         HeldShare share = share(slot.key());
         synchronized (share) {
-            share.completedWarm(slot);
+            share.recordWarmCompletion(slot);
         }
     }
 
-    /** Takes an answer that says that the endpoint was cold as a cold sign, unless it is older than the last one. */
+    /**
+     * Treats a response that says that the endpoint was cold as a cold sign, unless its work started before the last
+     * cold sign was known.
+     */
     public void completedCold(Slot slot) {
         HeldShare share = share(slot.key());
         synchronized (share) {
-            share.completedCold(slot);
+            share.recordColdCompletion(slot);
         }
     }
 
     /**
-     * Drops the share at once because the endpoint shows that it is cold; only the named cold holder keeps its cold
-     * slots. Work in flight counts against them.
+     * Lowers the share at once because the endpoint turned out to be cold; only the cold holder keeps its cold slots,
+     * which include its work in flight.
      */
     public void coldSign(ShareKey key) {
         HeldShare share = share(key);
         synchronized (share) {
-            share.coldSign();
+            share.applyColdSign();
         }
     }
 
-    /** Gives back what is not in use, as a process that is stopping does; the next report tells the leader. */
+    /**
+     * Relinquishes the slots that are not in use because this process is stopping; the next report tells the leader.
+     */
     public void giveBack(ShareKey key) {
         HeldShare share = share(key);
         synchronized (share) {
-            share.giveBack();
+            share.relinquish();
         }
     }
 
-    /** Applies a grant; {@code deadlineNanos} counts from when the report was sent. Returns false if it is outdated. */
+    /**
+     * Applies a grant; {@code deadlineNanos} is measured from the time at which the report was sent. Returns false if
+     * the grant is outdated.
+     */
     public boolean applyGrant(ShareGrant grant, long deadlineNanos) {
         HeldShare share = share(grant.key());
         synchronized (share) {
@@ -110,7 +118,7 @@
         }
     }
 
-    /** Returns the next report for the key; grants that answer earlier reports are ignored from now on. */
+    /** Returns the next report for the key; from now on, grants that answer earlier reports are ignored. */
     public ShareReport report(ShareKey key, long nowNanos) {
         HeldShare share = share(key);
         synchronized (share) {
@@ -118,15 +126,15 @@
         }
     }
 
-    /** Returns the slots that may be in use now; 0 past the deadline. */
+    /** Returns how many slots may be in use now; 0 after the deadline. */
     public int grantedSlots(ShareKey key, long nowNanos) {
         HeldShare share = share(key);
         synchronized (share) {
-            return share.usable(nowNanos);
+            return share.usableSlots(nowNanos);
         }
     }
 
-    /** Returns the slots in use, including those beyond a lowered grant. */
+    /** Returns the number of slots in use, including those beyond a lowered grant. */
     public int inUse(ShareKey key) {
         HeldShare share = share(key);
         synchronized (share) {
@@ -134,15 +142,15 @@
         }
     }
 
-    /** Returns whether a slot could be taken now. */
+    /** Returns whether a slot could be acquired now. */
     public boolean hasFreeSlot(ShareKey key, long nowNanos) {
         HeldShare share = share(key);
         synchronized (share) {
-            return share.mayAcquire(nowNanos);
+            return share.canAcquire(nowNanos);
         }
     }
 
-    /** Forgets a key that is gone for good; slots released later have no effect. */
+    /** Removes a key that is permanently gone; releasing its slots later has no effect. */
     public void remove(ShareKey key) {
         shares.remove(key);
     }
--- a/src/main/java/org/wigeongrade/decisions/limits/ShareKey.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/ShareKey.java
@@ -3,24 +3,26 @@
 import org.wigeongrade.ids.EndpointId;
 import org.wigeongrade.ids.OrganisationName;
 
-/** Names one bounded thing: its kind and the endpoint or organisation. Immutable; safe for use from any thread. */
+/**
+ * Identifies a limited resource: its kind and the endpoint or organisation. Immutable; safe for use from any thread.
+ */
 public record ShareKey(ShareKind kind, String name) implements Comparable<ShareKey> {
-    /** Returns the key of the requests in flight at an endpoint. */
+    /** Returns the key for the requests in flight at an endpoint. */
     public static ShareKey endpointSlots(EndpointId endpoint) {
         return new ShareKey(ShareKind.ENDPOINT_SLOTS, endpoint.value());
     }
 
-    /** Returns the key of the requests in flight of an organisation. */
+    /** Returns the key for the requests in flight of an organisation. */
     public static ShareKey inFlight(OrganisationName organisation) {
         return new ShareKey(ShareKind.ORGANISATION_IN_FLIGHT, organisation.value());
     }
 
-    /** Returns the key of the requests that an organisation may begin in each second. */
+    /** Returns the key for the requests that an organisation may start per second. */
     public static ShareKey requestRate(OrganisationName organisation) {
         return new ShareKey(ShareKind.ORGANISATION_REQUEST_RATE, organisation.value());
     }
 
-    /** Returns the key of the tokens that an organisation may use in each minute. */
+    /** Returns the key for the tokens that an organisation may use per minute. */
     public static ShareKey tokensPerMinute(OrganisationName organisation) {
         return new ShareKey(ShareKind.ORGANISATION_TOKENS_PER_MINUTE, organisation.value());
     }
--- a/src/main/java/org/wigeongrade/decisions/limits/ShareLedger.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/ShareLedger.java
@@ -6,98 +6,102 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * The leader's ledger of shares: cuts each bound into shares that entry VMs hold until a deadline.
+ * Divides each limit, on the leader, into shares that entry VMs hold until a deadline.
  *
- * <p>Invariant: for each key the shares that are live or not yet reclaimed sum to the bound at most. A share moves only
- * after its holder reported that it holds less, or after its deadline passed and the work begun under it ended. A new
- * leader starts with an empty ledger: it honours what holders report and gives out nothing else until the older leases
- * have passed. All times are on the leader's monotonic clock, in nanoseconds.
+ * <p>Invariant: for each key the shares that are live or not yet reclaimed sum to at most the limit. Slots move to
+ * another holder only after their current holder reported that it holds fewer, or after its deadline passed and the
+ * work started under the share ended. A new leader starts without shares: it accepts those that holders report and
+ * grants nothing else until the previous leader's leases have ended. All times are on the leader's monotonic clock, in
+ * nanoseconds.
  *
- * <p>Thread safety: all methods lock the ledger, which is a leaf: nothing else is locked inside.
+ * <p>Thread safety: every method locks this object and acquires no other lock while holding it.
  */
 public final class ShareLedger {
-    /** Part of the lease that the leader adds on its side for clocks that run at different speeds. */
+    /**
+     * The leader extends each lease on its side by the lease divided by this number, to allow for clocks that run at
+     * different speeds.
+     */
     private static final long DRIFT_MARGIN_DIVISOR = 100;
 
     private final long leaseNanos;
-    private final long olderLeasesEndNanos;
-    private final Map<ShareKey, KeyLedger> keys = new HashMap<>();
+    private final long previousLeasesEndNanos;
+    private final Map<ShareKey, ResourceAllocator> allocators = new HashMap<>();
 
     /**
-     * @param leaseNanos life of each grant, in nanoseconds
-     * @param olderLeasesEndNanos time after which no grant of an older leader is valid
+     * @param leaseNanos duration of each grant, in nanoseconds
+     * @param previousLeasesEndNanos time after which no grant of a previous leader is valid
      */
-    public ShareLedger(long leaseNanos, long olderLeasesEndNanos) {
+    public ShareLedger(long leaseNanos, long previousLeasesEndNanos) {
         this.leaseNanos = leaseNanos;
-        this.olderLeasesEndNanos = olderLeasesEndNanos;
+        this.previousLeasesEndNanos = previousLeasesEndNanos;
     }
 
-    /** Adds a bounded thing, or changes its bound; {@code warmth} counts only when the key is new. */
-    public synchronized void setBound(ShareKey key, ShareBound bound, Warmth warmth) {
-        KeyLedger known = keys.get(key);
-        if (known == null) {
-            keys.put(key, new KeyLedger(key, bound, warmth, olderLeasesEndNanos));
+    /** Adds a resource, or changes its limit; {@code initialState} is used only if the key is new. */
+    public synchronized void setBound(ShareKey key, ShareBound limit, Warmth initialState) {
+        ResourceAllocator allocator = allocators.get(key);
+        if (allocator == null) {
+            allocators.put(key, new ResourceAllocator(key, limit, initialState, previousLeasesEndNanos));
             return;
         }
-        known.setBound(bound);
+        allocator.setLimit(limit);
     }
 
-    /** Forgets a bounded thing that is gone for good, such as an endpoint that nobody may be sent to any more. */
+    /** Removes a resource that is permanently gone, such as an endpoint to which nobody may send any more. */
     public synchronized void remove(ShareKey key) {
-        keys.remove(key);
+        allocators.remove(key);
     }
 
-    /** Lowers the endpoint to its cold slots, held by its named cold holder alone. */
+    /** Lowers the endpoint to its cold slots, which only its cold holder gets. */
     public synchronized void coldSign(ShareKey key) {
-        Optional.ofNullable(keys.get(key)).ifPresent(KeyLedger::coldSign);
+        Optional.ofNullable(allocators.get(key)).ifPresent(ResourceAllocator::applyColdSign);
     }
 
     /**
-     * Takes in a holder's report and returns its new grant; empty if the key is unknown or the report is older than one
-     * already taken in, and then the holder keeps what it has until its deadline.
+     * Applies a holder's report and returns its new grant. Returns empty if the key is unknown or the report is older
+     * than one already applied; the holder then keeps what it has until its deadline.
      */
     public synchronized Optional<ShareGrant> report(
             NodeName holder, long holderIncarnation, ShareReport report, long nowNanos) {
-        KeyLedger known = keys.get(report.key());
-        if (known == null) {
+        ResourceAllocator allocator = allocators.get(report.key());
+        if (allocator == null) {
             return Optional.empty();
         }
-        return known.report(holder, holderIncarnation, report, nowNanos, leaseNanos, marginNanos());
+        return allocator.applyReport(holder, holderIncarnation, report, nowNanos, leaseNanos, driftMarginNanos());
     }
 
     /**
-     * Takes in an endpoint's own report of the requests that it runs or holds waiting.
+     * Applies an endpoint's own report of the requests that are running or waiting there.
      *
-     * @param running requests running or waiting there
-     * @param notBeforeNanos time before which the endpoint cannot have made the report, less the longest time that a
-     *     request may be under way to it: a request that it has not received yet is not in its count
+     * @param running number of requests running or waiting
+     * @param notBeforeNanos earliest time at which the endpoint can have made the report, minus the longest time that a
+     *     request may take to reach it: the count does not include requests that the endpoint has not received yet
      */
     public synchronized void endpointReport(ShareKey key, int running, long notBeforeNanos, long nowNanos) {
-        KeyLedger known = keys.get(key);
-        if (known != null) {
-            known.endpointRuns(running, notBeforeNanos, nowNanos);
+        ResourceAllocator allocator = allocators.get(key);
+        if (allocator != null) {
+            allocator.applyEndpointReport(running, notBeforeNanos, nowNanos);
         }
     }
 
     /** Returns the slots that are or may be in use; 0 for an unknown key. */
     public synchronized int chargedSlots(ShareKey key, long nowNanos) {
-        KeyLedger known = keys.get(key);
-        return known == null ? 0 : known.charged(nowNanos);
+        ResourceAllocator allocator = allocators.get(key);
+        return allocator == null ? 0 : allocator.allocated(nowNanos);
     }
 
-    /** Returns the slots that may be given out now: fewer than the bound while the endpoint is cold. */
-    public synchronized int boundSlots(ShareKey key) {
-        KeyLedger known = keys.get(key);
-        return known == null ? 0 : known.slots();
+    /** Returns the slots that may be granted in total: fewer than the limit while the endpoint is cold. */
+    public synchronized int availableSlots(ShareKey key) {
+        ResourceAllocator allocator = allocators.get(key);
+        return allocator == null ? 0 : allocator.slots();
     }
 
-    /** Returns the entry VM that alone may send to the endpoint once it turns cold. */
+    /** Returns the only entry VM that may send to the endpoint once it is cold. */
     public synchronized Optional<NodeName> coldHolder(ShareKey key) {
-        KeyLedger known = keys.get(key);
-        return known == null ? Optional.empty() : known.coldHolder();
+        ResourceAllocator allocator = allocators.get(key);
+        return allocator == null ? Optional.empty() : allocator.coldHolder();
     }
 
-    private long marginNanos() {
+    private long driftMarginNanos() {
         return leaseNanos / DRIFT_MARGIN_DIVISOR;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/limits/TakeResult.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/TakeResult.java
@@ -1,10 +1,10 @@
 package org.wigeongrade.decisions.limits;
 
-/** What asking for part of a share gave. Immutable; safe for use from any thread. */
+/** The result of taking from a share. Immutable; safe for use from any thread. */
 public sealed interface TakeResult {
-    /** The work may begin; the slot is given back when it ends. */
+    /** The work may start; the slot is released when it ends. */
     record Taken(Slot slot) implements TakeResult {}
 
-    /** The work may not begin now; nothing was taken. */
-    record ComeBack(long retryAfterMs) implements TakeResult {}
+    /** The work may not start now; nothing was taken. */
+    record RetryLater(long retryAfterMs) implements TakeResult {}
 }
--- a/src/main/java/org/wigeongrade/decisions/limits/TokenBucket.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/TokenBucket.java
@@ -3,17 +3,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds a rate: fills evenly with {@code perPeriod} tokens each period, up to the burst.
+ * Limits a rate: refills evenly with {@code tokensPerPeriod} tokens each period, up to the burst size.
  *
- * <p>Invariant: over any span the amounts taken exceed the rate times the span by at most the burst plus one taking. One
- * taking may be larger than the level, as a request's tokens are known only when it ends; the debt is waited out.
+ * <p>Invariant: over any period the amounts taken exceed the rate times that period by at most the burst size plus one
+ * request. One request may take more than the bucket holds, since its token count is known only when it ends; later
+ * requests wait until the deficit is refilled.
  *
  * <p>Not thread-safe; {@link ShareHolder} guards it. Times are in nanoseconds.
  */
 final class TokenBucket {
     private final long periodNanos;
     private final long burstNanos;
-    private long perPeriod;
+    private long tokensPerPeriod;
     private double level = 1;
     private long updatedNanos;
 
@@ -22,9 +23,9 @@
         this.burstNanos = burstNanos;
     }
 
-    void setRate(long newPerPeriod, long nowNanos) {
+    void setRate(long newTokensPerPeriod, long nowNanos) {
         refill(nowNanos);
-        perPeriod = newPerPeriod;
+        tokensPerPeriod = newTokensPerPeriod;
         level = Math.min(level, burst());
     }
 
@@ -37,30 +38,30 @@
         return true;
     }
 
-    /** Gives back an amount that was not used; negative if more was used than taken. */
-    void giveBack(long amount) {
+    /** Returns an unused amount; a negative amount means that more was used than taken. */
+    void refund(long amount) {
         level = Math.min(burst(), level + amount);
     }
 
-    /** Returns the time until a taking can succeed, in milliseconds, rounded up; -1 if the rate is 0. */
-    long comeBackMs(long nowNanos) {
+    /** Returns the time until {@link #tryTake} can succeed, in milliseconds, rounded up; -1 if the rate is 0. */
+    long retryAfterMs(long nowNanos) {
         refill(nowNanos);
-        if (perPeriod == 0) {
+        if (tokensPerPeriod == 0) {
             return -1;
         }
-        double waitNanos = Math.max(0, 1 - level) * periodNanos / perPeriod;
+        double waitNanos = Math.max(0, 1 - level) * periodNanos / tokensPerPeriod;
         return (long) Math.ceil(waitNanos / TimeUnit.MILLISECONDS.toNanos(1));
     }
 
     private void refill(long nowNanos) {
-        if (perPeriod > 0) {
+        if (tokensPerPeriod > 0) {
             long elapsedNanos = Math.max(0, nowNanos - updatedNanos);
-            level = Math.min(burst(), level + (double) perPeriod * elapsedNanos / periodNanos);
+            level = Math.min(burst(), level + (double) tokensPerPeriod * elapsedNanos / periodNanos);
         }
         updatedNanos = nowNanos;
     }
 
     private double burst() {
-        return Math.max(1, (double) perPeriod * burstNanos / periodNanos);
+        return Math.max(1, (double) tokensPerPeriod * burstNanos / periodNanos);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/limits/TokenRateExceeded.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/TokenRateExceeded.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.limits;
 
-/** Organisation used as many tokens in a minute as its limit allows. */
+/** Refuses a request of an organisation that has used as many tokens per minute as its limit allows. */
 final class TokenRateExceeded implements AdmissionRule {
     @Override
     public AdmissionReason reason() {
@@ -8,7 +8,7 @@
     }
 
     @Override
-    public boolean applies(AdmissionRequest request) {
+    public boolean isDeclared(AdmissionRequest request) {
         return request.tokensPerMinute() > 0;
     }
 
--- a/src/main/java/org/wigeongrade/decisions/limits/Warmth.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/Warmth.java
@@ -1,15 +1,15 @@
 package org.wigeongrade.decisions.limits;
 
-/** How much of its capacity an endpoint can bear when it is first seen. */
+/** Whether an endpoint starts with its cold capacity or its full capacity when it is first seen. */
 public enum Warmth {
     COLD,
     WARM;
 
-    /** Returns the slots with which the endpoint begins. */
-    public int firstSlots(ShareBound bound) {
+    /** Returns the slots with which the endpoint starts. */
+    public int initialSlots(ShareBound limit) {
         return switch (this) {
-            case COLD -> bound.coldSlots();
-            case WARM -> bound.slots();
+            case COLD -> limit.coldSlots();
+            case WARM -> limit.slots();
         };
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/limits/package-info.java
+++ b/src/main/java/org/wigeongrade/decisions/limits/package-info.java
@@ -1,2 +1,5 @@
-/** Shares of bounded things: the leader's ledger, the table of each entry VM, and the limits of organisations. */
+/**
+ * Shares of limited resources: how the leader allocates them, how each entry VM uses them, and the limits of
+ * organisations.
+ */
 package org.wigeongrade.decisions.limits;
--- a/src/main/java/org/wigeongrade/decisions/outcomes/AttemptDeadlinePassed.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/AttemptDeadlinePassed.java
@@ -1,6 +1,8 @@
 package org.wigeongrade.decisions.outcomes;
 
-/** Deadline of the attempt has passed: its answer would come too late for the caller. */
+/**
+ * Refuses to send because the deadline of the attempt has passed: its response would arrive too late for the caller.
+ */
 final class AttemptDeadlinePassed implements SendRule {
     @Override
     public SendRefusal refusal() {
@@ -8,7 +10,7 @@
     }
 
     @Override
-    public boolean refuses(SendFacts facts, long nowNanos) {
-        return SendRule.hasPassed(facts.attemptDeadlineNanos(), nowNanos);
+    public boolean refuses(SendFacts deadlines, long nowNanos) {
+        return SendRule.hasPassed(deadlines.attemptDeadlineNanos(), nowNanos);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/AttemptFacts.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/AttemptFacts.java
@@ -1,19 +1,20 @@
 package org.wigeongrade.decisions.outcomes;
 
 /**
- * What was seen of one attempt.
+ * What was observed of one attempt.
  *
- * <p>{@code bytesGiven} is true from the moment that any byte of the request was handed to the connection, whether or not
- * it is known to have left. {@code answerIdMatches} compares the attempt id that the answer repeats. {@code end} tells
+ * <p>{@code requestBytesSent} is true as soon as any byte of the request was handed to the connection, whether or not
+ * it is known to have left this VM. {@code responseIdMatches} tells whether the response repeats the id of this
+ * attempt. {@code notRunStated} tells whether the endpoint stated that it did not run the request. {@code end} tells
  * how the exchange ended. Immutable; safe for use from any thread.
  */
 public record AttemptFacts(
         boolean connected,
-        boolean bytesGiven,
-        boolean answerBegan,
+        boolean requestBytesSent,
+        boolean responseStarted,
         int status,
         boolean notRunStated,
-        boolean answerIdMatches,
+        boolean responseIdMatches,
         End end) {
     /** How an exchange ended. */
     public enum End {
@@ -24,18 +25,18 @@
         CALLER_GONE
     }
 
-    /** Facts of an attempt that could not connect. */
+    /** Returns the facts of an attempt that could not connect. */
     public static AttemptFacts connectFailed() {
         return new AttemptFacts(false, false, false, 0, false, false, End.CONNECTION_FAILED);
     }
 
-    /** Facts of an attempt that ended before an answer began. */
-    public static AttemptFacts noAnswer(boolean bytesGiven, End end) {
-        return new AttemptFacts(true, bytesGiven, false, 0, false, false, end);
+    /** Returns the facts of an attempt that ended before a response started. */
+    public static AttemptFacts noAnswer(boolean requestBytesSent, End end) {
+        return new AttemptFacts(true, requestBytesSent, false, 0, false, false, end);
     }
 
-    /** Facts of an attempt whose answer began. */
-    public static AttemptFacts answer(int status, boolean notRunStated, boolean answerIdMatches, End end) {
-        return new AttemptFacts(true, true, true, status, notRunStated, answerIdMatches, end);
+    /** Returns the facts of an attempt whose response started. */
+    public static AttemptFacts answer(int status, boolean notRunStated, boolean responseIdMatches, End end) {
+        return new AttemptFacts(true, true, true, status, notRunStated, responseIdMatches, end);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/AttemptOutcome.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/AttemptOutcome.java
@@ -3,17 +3,17 @@
 import org.wigeongrade.errors.RunClaim;
 
 /**
- * The end of one attempt.
+ * The outcome of one attempt.
  *
- * <p>Invariant: {@link RunClaim#NOT_RUN} stands only where no byte of the request was given to a connection, or the
- * endpoint itself stated in a whole answer to this attempt that it did not run it. Immutable; safe for use from any
- * thread.
+ * <p>Invariant: the claim is {@link RunClaim#NOT_RUN} only if no byte of the request was handed to a connection, or if
+ * the endpoint itself stated, in a complete response to this attempt, that it did not run the request. Immutable; safe
+ * for use from any thread.
  */
 public record AttemptOutcome(AttemptEvent event) {
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** Classifies what was seen of an attempt. */
+    /** Classifies the observed facts of an attempt. */
     public static AttemptOutcome of(AttemptFacts facts) {
         return new AttemptOutcome(classify(facts));
     }
@@ -26,13 +26,13 @@
         if (!facts.connected()) {
             return AttemptEvent.CONNECT_FAILED;
         }
-        if (!facts.bytesGiven()) {
+        if (!facts.requestBytesSent()) {
             return AttemptEvent.FAILED_BEFORE_FIRST_BYTE;
         }
-        return facts.answerBegan() ? classifyAnswer(facts) : classifySilence(facts);
+        return facts.responseStarted() ? classifyResponse(facts) : classifyMissingResponse(facts);
     }
 
-    private static AttemptEvent classifySilence(AttemptFacts facts) {
+    private static AttemptEvent classifyMissingResponse(AttemptFacts facts) {
         return switch (facts.end()) {
             case DEADLINE_PASSED, STALL_DEADLINE_PASSED -> AttemptEvent.TIMED_OUT;
             case CALLER_GONE -> AttemptEvent.CANCELLED;
@@ -40,8 +40,8 @@
         };
     }
 
-    private static AttemptEvent classifyAnswer(AttemptFacts facts) {
-        if (!facts.answerIdMatches()) {
+    private static AttemptEvent classifyResponse(AttemptFacts facts) {
+        if (!facts.responseIdMatches()) {
             return AttemptEvent.ANSWER_MISMATCHED;
         }
         return switch (facts.end()) {
--- a/src/main/java/org/wigeongrade/decisions/outcomes/Claim.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/Claim.java
@@ -10,9 +10,10 @@
 /**
  * The claim of one idempotency key: who may send the request, once, and how that send ended.
  *
- * <p>Invariant: {@code outcome} is null while the send is open, then UNKNOWN or COMPLETED; {@code answer} is set for
- * COMPLETED alone, until its body has to make room for newer ones. The send may start until {@code sendDeadlineEpochMs} and has ended by {@code
- * outcomeDeadlineEpochMs}. Immutable; safe for use from any thread.
+ * <p>Invariant: {@code outcome} is null until the outcome of the send is recorded, then UNKNOWN or COMPLETED.
+ * {@code answer} is the stored response; it is set only for COMPLETED, and is dropped when newer responses need its
+ * space. The send may start until {@code sendDeadlineEpochMs} and has ended by {@code outcomeDeadlineEpochMs}.
+ * Immutable; safe for use from any thread.
  */
 public record Claim(
         OrganisationName organisation,
@@ -25,7 +26,7 @@
         long retainUntilEpochMs,
         RunClaim outcome,
         StoredAnswer answer) {
-    /** Returns this claim with the outcome of its send, kept until {@code retainUntilEpochMs}. */
+    /** Returns a copy of this claim with the outcome of its send, kept until {@code retainUntilEpochMs}. */
     Claim finished(RunClaim outcome, StoredAnswer answer, long retainUntilEpochMs) {
         return new Claim(
                 organisation,
@@ -40,8 +41,8 @@
                 answer);
     }
 
-    /** Returns whether the command is the proposal that made this claim, sent again. */
-    boolean isOf(Command.ClaimRequest command) {
+    /** Returns whether the command is a repeat of the proposal that made this claim. */
+    boolean isMadeBy(Command.ClaimRequest command) {
         return requestId.equals(command.requestId()) && entryVm.equals(command.entryVm());
     }
 
--- a/src/main/java/org/wigeongrade/decisions/outcomes/ClaimDeadlinePassed.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/ClaimDeadlinePassed.java
@@ -1,6 +1,9 @@
 package org.wigeongrade.decisions.outcomes;
 
-/** Claim on the single send has passed its deadline: a resend may have claimed the call anew. */
+/**
+ * Refuses to send because the claim on the single send has passed its deadline: a repeated request may have claimed the
+ * call again.
+ */
 final class ClaimDeadlinePassed implements SendRule {
     @Override
     public SendRefusal refusal() {
@@ -8,8 +11,8 @@
     }
 
     @Override
-    public boolean refuses(SendFacts facts, long nowNanos) {
-        return facts.claimDeadlineNanos().isPresent()
-                && SendRule.hasPassed(facts.claimDeadlineNanos().getAsLong(), nowNanos);
+    public boolean refuses(SendFacts deadlines, long nowNanos) {
+        return deadlines.claimDeadlineNanos().isPresent()
+                && SendRule.hasPassed(deadlines.claimDeadlineNanos().getAsLong(), nowNanos);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/ClaimTable.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/ClaimTable.java
@@ -16,9 +16,10 @@
 /**
  * The at-most-once claims of the fleet, one for each organisation and idempotency key.
  *
- * <p>Invariants: {@link #claim} accepts one request id at most for a key until its send is known not to have run or the
- * retention has passed; the bodies of the kept answers stay within {@link #MAX_ANSWER_BYTES}, the oldest are dropped
- * first and their claims stay. Results depend on the commands alone. Not thread safe; {@code ControlState} guards it.
+ * <p>Invariants: {@link #claim} accepts at most one request id for a key until its send is known not to have run or the
+ * retention period has passed. The bodies of the stored responses stay within {@link #MAX_RESPONSE_BYTES}: the oldest
+ * are dropped first, while their claims are kept. Results depend only on the commands. Not thread-safe;
+ * {@code ControlState} guards it.
  */
 public final class ClaimTable {
     private static final long MS_PER_HOUR = 60L * 60 * 1_000;
@@ -26,26 +27,26 @@
     /** How long a claim is kept after its last change, in milliseconds. */
     public static final long RETENTION_MS = 24 * MS_PER_HOUR;
 
-    /** Claims that one organisation may hold at once. */
+    /** Maximum number of claims that one organisation may hold at once. */
     public static final int MAX_CLAIMS_PER_ORGANISATION = 4_000;
 
-    /** Claims that all organisations may hold at once. */
+    /** Maximum number of claims that all organisations together may hold at once. */
     public static final int MAX_CLAIMS = 8_000;
 
-    /** Bodies of all kept answers together, in bytes. */
-    public static final long MAX_ANSWER_BYTES = 4L * 1024 * 1024;
+    /** Maximum total size of the bodies of all stored responses, in bytes. */
+    public static final long MAX_RESPONSE_BYTES = 4L * 1024 * 1024;
 
     private static final Comparator<Claim> OLDEST_FIRST =
             Comparator.comparingLong(Claim::retainUntilEpochMs).thenComparing(ClaimKey::of);
 
     private final TreeMap<ClaimKey, Claim> claims = new TreeMap<>();
-    private final TreeMap<OrganisationName, Integer> countOf = new TreeMap<>();
-    private final TreeSet<Claim> withAnswer = new TreeSet<>(OLDEST_FIRST);
-    private long answerBytes;
+    private final TreeMap<OrganisationName, Integer> claimCounts = new TreeMap<>();
+    private final TreeSet<Claim> claimsWithResponse = new TreeSet<>(OLDEST_FIRST);
+    private long responseBytes;
 
     /**
-     * Claims the single send of a request. The same request id may claim again while its claim is open, since its first
-     * answer may be lost.
+     * Claims the single send of a request. The same request id may claim again while its claim is open, since the first
+     * reply to it may have been lost.
      *
      * @param nowEpochMs time of the state machine
      * @param longestRunMs longest time that the request may run after it was sent
@@ -55,24 +56,25 @@
         final ClaimKey key = new ClaimKey(command.organisation(), command.idempotencyKey());
         final Claim earlier = claims.get(key);
         if (earlier != null) {
-            return claimAgain(key, earlier, command, nowEpochMs, revision);
+            return repeatClaim(key, earlier, command, nowEpochMs, revision);
         }
         if (isFull(command.organisation())) {
             return refused(
                     ErrorKind.ORGANISATION_LIMIT,
                     key,
-                    "cannot be claimed: too many claims of the last " + RETENTION_MS / MS_PER_HOUR + " hours are kept",
+                    "cannot be claimed: too many claims from the last " + RETENTION_MS / MS_PER_HOUR
+                            + " hours are stored",
                     revision);
         }
-        put(key, open(command, nowEpochMs, longestRunMs));
+        put(key, newClaim(command, nowEpochMs, longestRunMs));
         return new CommandResult.Accepted(revision);
     }
 
     private boolean isFull(OrganisationName organisation) {
-        return claims.size() >= MAX_CLAIMS || countOf.getOrDefault(organisation, 0) >= MAX_CLAIMS_PER_ORGANISATION;
+        return claims.size() >= MAX_CLAIMS || claimCounts.getOrDefault(organisation, 0) >= MAX_CLAIMS_PER_ORGANISATION;
     }
 
-    private static CommandResult claimAgain(
+    private static CommandResult repeatClaim(
             ClaimKey key, Claim earlier, Command.ClaimRequest command, long nowEpochMs, Revision revision) {
         if (!earlier.requestDigest().equals(command.requestDigest())) {
             return refused(ErrorKind.IDEMPOTENCY_KEY_REUSED, key, "was used for a different request", revision);
@@ -84,23 +86,27 @@
             return refused(
                     ErrorKind.OUTCOME_UNKNOWN,
                     key,
-                    "ran once by request " + earlier.requestId() + " and its answer is no longer kept",
+                    "was used by request " + earlier.requestId()
+                            + ", which completed; its response is no longer stored",
                     revision);
         }
         if (!earlier.isInProgress(nowEpochMs)) {
             return refused(
                     ErrorKind.OUTCOME_UNKNOWN,
                     key,
-                    "was sent once by request " + earlier.requestId() + " and its outcome is not known",
+                    "was used by request " + earlier.requestId() + ", which was sent once; its outcome is not known",
                     revision);
         }
-        if (earlier.isOf(command) && nowEpochMs <= earlier.sendDeadlineEpochMs()) {
+        if (earlier.isMadeBy(command) && nowEpochMs <= earlier.sendDeadlineEpochMs()) {
             return new CommandResult.Accepted(revision);
         }
         return refused(ErrorKind.REQUEST_IN_PROGRESS, key, "is in use by request " + earlier.requestId(), revision);
     }
 
-    /** Records how a claimed send ended. Only the request that holds the claim may do so; repeats change nothing. */
+    /**
+     * Records how a claimed send ended. Only the request that holds the claim may do so. Repeating the command has no
+     * effect.
+     */
     public CommandResult finish(Command.FinishClaim command, long nowEpochMs, Revision revision) {
         final ClaimKey key = new ClaimKey(command.organisation(), command.idempotencyKey());
         final Claim claim = claims.get(key);
@@ -118,31 +124,35 @@
             return new CommandResult.Accepted(revision);
         }
         return switch (command.outcome()) {
-            case NOT_RUN -> free(key, claim, revision);
-            case UNKNOWN -> keep(key, claim.finished(RunClaim.UNKNOWN, null, retainUntil(nowEpochMs)), revision);
+            case NOT_RUN -> release(key, claim, revision);
+            case UNKNOWN -> replace(key, claim.finished(RunClaim.UNKNOWN, null, retainUntil(nowEpochMs)), revision);
             case COMPLETED ->
-                keep(key, claim.finished(RunClaim.COMPLETED, command.answer(), retainUntil(nowEpochMs)), revision);
+                replace(key, claim.finished(RunClaim.COMPLETED, command.answer(), retainUntil(nowEpochMs)), revision);
         };
     }
 
-    private CommandResult free(ClaimKey key, Claim claim, Revision revision) {
+    private CommandResult release(ClaimKey key, Claim claim, Revision revision) {
         if (claim.outcome() == RunClaim.UNKNOWN) {
-            return refused(ErrorKind.OUTCOME_UNKNOWN, key, "may have run and cannot be freed", revision);
+            return refused(
+                    ErrorKind.OUTCOME_UNKNOWN,
+                    key,
+                    "belongs to a request that may have run, so its claim cannot be released",
+                    revision);
         }
         remove(claim);
         return new CommandResult.Accepted(revision);
     }
 
-    private CommandResult keep(ClaimKey key, Claim claim, Revision revision) {
+    private CommandResult replace(ClaimKey key, Claim claim, Revision revision) {
         remove(claims.get(key));
         put(key, claim);
-        dropOldestAnswers();
+        dropOldestResponses();
         return new CommandResult.Accepted(revision);
     }
 
-    private void dropOldestAnswers() {
-        while (answerBytes > MAX_ANSWER_BYTES) {
-            final Claim oldest = withAnswer.first();
+    private void dropOldestResponses() {
+        while (responseBytes > MAX_RESPONSE_BYTES) {
+            final Claim oldest = claimsWithResponse.first();
             remove(oldest);
             put(ClaimKey.of(oldest), oldest.finished(RunClaim.COMPLETED, null, oldest.retainUntilEpochMs()));
         }
@@ -150,23 +160,23 @@
 
     private void put(ClaimKey key, Claim claim) {
         claims.put(key, claim);
-        countOf.merge(claim.organisation(), 1, Integer::sum);
+        claimCounts.merge(claim.organisation(), 1, Integer::sum);
         if (claim.answer() != null) {
-            withAnswer.add(claim);
-            answerBytes += claim.answer().body().length;
+            claimsWithResponse.add(claim);
+            responseBytes += claim.answer().body().length;
         }
     }
 
     private void remove(Claim claim) {
         claims.remove(ClaimKey.of(claim));
-        countOf.merge(claim.organisation(), -1, Integer::sum);
+        claimCounts.merge(claim.organisation(), -1, Integer::sum);
         if (claim.answer() != null) {
-            withAnswer.remove(claim);
-            answerBytes -= claim.answer().body().length;
+            claimsWithResponse.remove(claim);
+            responseBytes -= claim.answer().body().length;
         }
     }
 
-    /** Removes the claims whose retention has passed. */
+    /** Removes the claims whose retention period has passed. */
     public void expire(long nowEpochMs) {
         final List<Claim> expired = claims.values().stream()
                 .filter(claim -> claim.retainUntilEpochMs() <= nowEpochMs)
@@ -174,14 +184,14 @@
         expired.forEach(this::remove);
     }
 
-    /** Returns the claim of a key, if there is one. */
+    /** Returns the claim for a key, if there is one. */
     public Optional<Claim> find(OrganisationName organisation, String idempotencyKey) {
         return Optional.ofNullable(claims.get(new ClaimKey(organisation, idempotencyKey)));
     }
 
-    /** Returns the bytes of all kept answers' bodies. */
-    public long answerBytes() {
-        return answerBytes;
+    /** Returns the total size of the bodies of all stored responses, in bytes. */
+    public long responseBytes() {
+        return responseBytes;
     }
 
     /** Returns all claims in the order of their keys. */
@@ -192,13 +202,13 @@
     /** Replaces all claims. */
     public void restore(List<Claim> restored) {
         claims.clear();
-        countOf.clear();
-        withAnswer.clear();
-        answerBytes = 0;
+        claimCounts.clear();
+        claimsWithResponse.clear();
+        responseBytes = 0;
         restored.forEach(claim -> put(ClaimKey.of(claim), claim));
     }
 
-    private static Claim open(Command.ClaimRequest command, long nowEpochMs, long longestRunMs) {
+    private static Claim newClaim(Command.ClaimRequest command, long nowEpochMs, long longestRunMs) {
         final long outcomeDeadlineEpochMs = command.sendDeadlineEpochMs() + longestRunMs;
         return new Claim(
                 command.organisation(),
@@ -217,8 +227,8 @@
         return fromEpochMs + RETENTION_MS;
     }
 
-    private static CommandResult refused(ErrorKind kind, ClaimKey key, String what, Revision revision) {
+    private static CommandResult refused(ErrorKind kind, ClaimKey key, String problem, Revision revision) {
         return new CommandResult.Refused(
-                kind, "idempotency key '" + key.idempotencyKey() + "' " + what + ". " + kind.fix(), revision);
+                kind, "idempotency key '" + key.idempotencyKey() + "' " + problem + ". " + kind.fix(), revision);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/CrashReport.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/CrashReport.java
@@ -5,8 +5,8 @@
 
 /**
  * What an entry VM tells the leader in each exchange: which requests were in flight at endpoints that were lost, and
- * which suspects completed since. Repeating a report changes nothing, so it is sent until it is acknowledged. Immutable;
- * safe for use from any thread.
+ * which suspect requests have completed since. Applying a report twice has no effect, so it is sent until it is
+ * acknowledged. Immutable; safe for use from any thread.
  */
 public record CrashReport(long sequence, Set<Loss> losses, Set<Completion> completions) {
     public CrashReport {
@@ -14,10 +14,13 @@
         completions = ImmutableSet.copyOf(completions);
     }
 
-    /** One request digest that was in flight at an endpoint when it was lost. */
+    /** The digest of a request that was in flight at an endpoint when the endpoint was lost. */
     public record Loss(String requestDigest, EndpointLife life) {}
 
-    /** One suspect that an endpoint answered whole: it does not crash endpoints. */
+    /**
+     * The digest of a suspect request for which an endpoint returned a complete response, which shows that it does not
+     * crash endpoints.
+     */
     public record Completion(String requestDigest, EndpointLife life) {}
 
     public boolean isEmpty() {
--- a/src/main/java/org/wigeongrade/decisions/outcomes/CrashSuspects.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/CrashSuspects.java
@@ -10,13 +10,15 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * The leader's list of requests that may crash endpoints, gathered from the reports of all entry VMs.
+ * The leader's list of suspect requests (requests that may crash endpoints), gathered from the reports of all entry
+ * VMs.
  *
- * <p>Invariants: a digest that was in flight at one lost endpoint is a suspect, which one entry VM at a time may run;
- * at two lost endpoints it is proposed for quarantine; a whole answer clears it. A suspect is forgotten at its deadline.
- * All times are on the leader's monotonic clock, in nanoseconds.
+ * <p>Invariants: a digest that was in flight at one lost endpoint is a suspect, which only one entry VM at a time may
+ * run on trial. A digest that was in flight at two lost endpoints is proposed for quarantine. A complete response
+ * clears a suspect, and a suspect is removed at its deadline. All times are on the leader's monotonic clock, in
+ * nanoseconds.
  *
- * <p>Thread safety: all methods lock the list, which is a leaf: nothing else is locked inside.
+ * <p>Thread safety: every method locks this object and acquires no other lock while holding it.
  */
 public final class CrashSuspects {
     private static final int LOSSES_FOR_QUARANTINE = 2;
@@ -27,59 +29,61 @@
     private final Map<NodeName, Long> acknowledged = new HashMap<>();
 
     /**
-     * @param suspectNanos time after the last loss until a suspect is forgotten
-     * @param trialNanos time for which one entry VM may begin to run a suspect
+     * @param suspectNanos how long after its last loss a suspect is removed
+     * @param trialNanos time within which one entry VM may start to run a suspect
      */
     public CrashSuspects(long suspectNanos, long trialNanos) {
         this.suspectNanos = suspectNanos;
         this.trialNanos = trialNanos;
     }
 
-    /** Takes in a report and returns the digests that it makes due for quarantine. */
+    /** Applies a report and returns the digests to quarantine because of it. */
     public synchronized ImmutableList<QuarantineProposal> report(NodeName entryVm, CrashReport report, long nowNanos) {
         acknowledged.put(entryVm, report.sequence());
         report.completions().forEach(completion -> suspects.remove(completion.requestDigest()));
         ImmutableList.Builder<QuarantineProposal> proposals = ImmutableList.builder();
         for (CrashReport.Loss loss : report.losses()) {
-            proposalAfter(loss, nowNanos).ifPresent(proposals::add);
+            recordLoss(loss, nowNanos).ifPresent(proposals::add);
         }
         return proposals.build();
     }
 
     /**
-     * Returns the list for one entry VM and gives it the trial of each suspect that it wants to run and nobody else may
-     * run now; a trial that it no longer wants is free. {@code quarantined} are the digests that the replicated log holds.
+     * Returns the list for one entry VM. Grants it the trial of each suspect that it wants to run and that no other VM
+     * may run now, and releases each trial that it no longer wants. {@code quarantined} are the digests quarantined in
+     * the replicated log.
      */
     public synchronized SuspectList list(
             NodeName entryVm, Set<String> wantedTrials, Set<String> quarantined, long nowNanos) {
-        suspects.values().removeIf(suspect -> nowNanos - suspect.forgetAtNanos > 0);
+        suspects.values().removeIf(suspect -> nowNanos - suspect.expiresAtNanos > 0);
         ImmutableList.Builder<SuspectList.Suspect> listed = ImmutableList.builder();
         suspects.forEach((digest, suspect) -> {
             if (wantedTrials.contains(digest)) {
-                suspect.giveTrial(entryVm, nowNanos + trialNanos, nowNanos);
+                suspect.grantTrial(entryVm, nowNanos + trialNanos, nowNanos);
             } else {
                 suspect.endTrial(entryVm);
             }
-            listed.add(new SuspectList.Suspect(digest, suspect.lost.size(), suspect.trialHolder(nowNanos), trialNanos));
+            listed.add(new SuspectList.Suspect(
+                    digest, suspect.lostEndpoints.size(), suspect.trialHolder(nowNanos), trialNanos));
         });
         return new SuspectList(acknowledged.getOrDefault(entryVm, 0L), listed.build(), quarantined);
     }
 
-    private Optional<QuarantineProposal> proposalAfter(CrashReport.Loss loss, long nowNanos) {
+    private Optional<QuarantineProposal> recordLoss(CrashReport.Loss loss, long nowNanos) {
         Suspect suspect = suspects.computeIfAbsent(loss.requestDigest(), digest -> new Suspect());
-        suspect.lost.add(loss.life());
-        suspect.forgetAtNanos = nowNanos + suspectNanos;
-        if (suspect.lost.size() < LOSSES_FOR_QUARANTINE) {
+        suspect.lostEndpoints.add(loss.life());
+        suspect.expiresAtNanos = nowNanos + suspectNanos;
+        if (suspect.lostEndpoints.size() < LOSSES_FOR_QUARANTINE) {
             return Optional.empty();
         }
-        return Optional.of(new QuarantineProposal(loss.requestDigest(), ImmutableSet.copyOf(suspect.lost)));
+        return Optional.of(new QuarantineProposal(loss.requestDigest(), ImmutableSet.copyOf(suspect.lostEndpoints)));
     }
 
     private static final class Suspect {
-        private final Set<EndpointLife> lost = new HashSet<>();
+        private final Set<EndpointLife> lostEndpoints = new HashSet<>();
         private Optional<NodeName> trialHolder = Optional.empty();
         private long trialDeadlineNanos;
-        private long forgetAtNanos;
+        private long expiresAtNanos;
 
         Optional<NodeName> trialHolder(long nowNanos) {
             return nowNanos - trialDeadlineNanos < 0 ? trialHolder : Optional.empty();
@@ -91,7 +95,7 @@
             }
         }
 
-        void giveTrial(NodeName entryVm, long deadlineNanos, long nowNanos) {
+        void grantTrial(NodeName entryVm, long deadlineNanos, long nowNanos) {
             Optional<NodeName> current = trialHolder(nowNanos);
             if (current.isEmpty() || current.get().equals(entryVm)) {
                 trialHolder = Optional.of(entryVm);
--- a/src/main/java/org/wigeongrade/decisions/outcomes/EndpointLife.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/EndpointLife.java
@@ -2,7 +2,10 @@
 
 import org.wigeongrade.ids.EndpointId;
 
-/** One life of an endpoint: its id and the incarnation of its process. Immutable; safe for use from any thread. */
+/**
+ * One incarnation of an endpoint: its id and the incarnation number of its process. Immutable; safe for use from any
+ * thread.
+ */
 public record EndpointLife(EndpointId endpoint, long incarnation) {
     @Override
     public String toString() {
--- a/src/main/java/org/wigeongrade/decisions/outcomes/EventFramer.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/EventFramer.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /**
- * Cuts the bytes of a {@code text/event-stream} into the data of whole events.
+ * Decodes the bytes of a {@code text/event-stream} into the data of complete events.
  *
- * <p>Invariant: an event is returned only once its closing empty line came; what a cut stream leaves behind is never
- * returned. Not thread-safe: one request's worker uses it.
+ * <p>Invariant: an event is returned only after the empty line that ends it was received; an incomplete event at the
+ * end of a broken stream is never returned. Not thread-safe: used by one request's worker.
  */
 public final class EventFramer {
     private static final String DATA_FIELD = "data:";
@@ -20,14 +20,14 @@
     private final List<String> eventData = new ArrayList<>();
     private int eventBytes;
 
-    /** @param maxEventBytes bytes that one event may have at most */
+    /** @param maxEventBytes maximum size of one event, in bytes */
     public EventFramer(int maxEventBytes) {
         this.maxEventBytes = maxEventBytes;
     }
 
     /**
-     * Takes in the next bytes and returns the data of each event that they complete; throws {@link
-     * IllegalArgumentException} if an event is too large.
+     * Decodes the next bytes and returns the data of each event that they complete; throws
+     * {@link IllegalArgumentException} if an event is too large.
      */
     public ImmutableList<String> accept(byte[] bytes) {
         ImmutableList.Builder<String> events = ImmutableList.builder();
--- a/src/main/java/org/wigeongrade/decisions/outcomes/QuarantineProposal.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/QuarantineProposal.java
@@ -3,14 +3,15 @@
 import com.google.common.collect.ImmutableSet;
 import java.util.Set;
 
-/** Asks for a request digest to be refused fleet-wide. Immutable; safe for use from any thread. */
+/** Proposes that a request digest be refused fleet-wide. Immutable; safe for use from any thread. */
 public record QuarantineProposal(String requestDigest, Set<EndpointLife> endpointsLost) {
     public QuarantineProposal {
         endpointsLost = ImmutableSet.copyOf(endpointsLost);
     }
 
-    /** Returns the reason for operators. */
+    /** Returns the reason shown to operators. */
     public String reason() {
-        return "request " + requestDigest + " was running at " + endpointsLost + " when each was lost";
+        return "request " + requestDigest + " was in flight at each of the endpoints " + endpointsLost
+                + " when it was lost";
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/QuarantineTable.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/QuarantineTable.java
@@ -8,13 +8,13 @@
 /**
  * The requests that are refused fleet-wide, by digest.
  *
- * <p>Invariant: a digest's deadline never moves back while it is in force. Results depend on the commands alone. Not
- * thread safe; {@code ControlState} guards it.
+ * <p>Invariant: the deadline of a digest never moves to an earlier time while the quarantine is in force. Results
+ * depend only on the commands. Not thread-safe; {@code ControlState} guards it.
  */
 public final class QuarantineTable {
     private final TreeMap<String, Quarantine> byDigest = new TreeMap<>();
 
-    /** Refuses a digest until {@code untilEpochMs}, or until the later deadline that it already has. */
+    /** Quarantines a digest until {@code untilEpochMs}, or until its existing deadline if that is later. */
     public void add(String requestDigest, String reason, long nowEpochMs, long untilEpochMs) {
         final Quarantine earlier = byDigest.get(requestDigest);
         if (earlier == null || earlier.untilEpochMs() <= nowEpochMs) {
@@ -25,7 +25,7 @@
         byDigest.put(requestDigest, new Quarantine(requestDigest, reason, earlier.sinceEpochMs(), laterEpochMs));
     }
 
-    /** Returns the quarantine of a digest that is in force at {@code nowEpochMs}, if there is one. */
+    /** Returns the quarantine of a digest that is in force at {@code nowEpochMs}, if any. */
     public Optional<Quarantine> find(String requestDigest, long nowEpochMs) {
         return Optional.ofNullable(byDigest.get(requestDigest)).filter(entry -> nowEpochMs < entry.untilEpochMs());
     }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/SendRefusal.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/SendRefusal.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import org.wigeongrade.errors.ErrorKind;
 
-/** Why a request was not sent at the last moment; the codes are documented in docs/RULES-routing.md. */
+/** Why the final check refused to send a request; the codes are documented in docs/RULES-routing.md. */
 public enum SendRefusal {
     VIEW_LEASE_ENDED(ErrorKind.NO_VIEW_LEASE),
     SEND_SERVING_LEASE_ENDED(ErrorKind.NO_WHOLE_GROUP),
@@ -17,12 +17,12 @@
         this.errorKind = errorKind;
     }
 
-    /** Returns the kind of error for the caller; it always says that the request was not run. */
+    /** Returns the kind of error to report to the caller; it always says that the request was not run. */
     public ErrorKind errorKind() {
         return errorKind;
     }
 
-    /** Returns the code as it stands in answers, counters and docs. */
+    /** Returns the code used in responses, counters and docs. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/SendRule.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/SendRule.java
@@ -2,9 +2,9 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** One reason not to send a request that is about to be sent. Implementations are stateless. */
+/** A reason not to send a request that is about to be sent. Implementations are stateless. */
 interface SendRule {
-    /** All rules, in the order in which they are asked. */
+    /** All rules in evaluation order. */
     ImmutableList<SendRule> ALL = ImmutableList.of(
             new ViewLeaseEnded(),
             new SendServingLeaseEnded(),
@@ -15,9 +15,9 @@
     SendRefusal refusal();
 
     /** Returns whether the request must not be sent. */
-    boolean refuses(SendFacts facts, long nowNanos);
+    boolean refuses(SendFacts deadlines, long nowNanos);
 
-    /** Returns whether a deadline has passed; the instant of the deadline itself counts as passed. */
+    /** Returns whether a deadline has passed; a deadline equal to {@code nowNanos} counts as passed. */
     static boolean hasPassed(long deadlineNanos, long nowNanos) {
         return nowNanos - deadlineNanos >= 0;
     }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/SendServingLeaseEnded.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/SendServingLeaseEnded.java
@@ -1,6 +1,8 @@
 package org.wigeongrade.decisions.outcomes;
 
-/** Serving lease of the endpoint ended after it was chosen: a member of the group may be missing. */
+/**
+ * Refuses to send because the endpoint's serving lease ended after it was chosen: a member of the group may be missing.
+ */
 final class SendServingLeaseEnded implements SendRule {
     @Override
     public SendRefusal refusal() {
@@ -8,7 +10,7 @@
     }
 
     @Override
-    public boolean refuses(SendFacts facts, long nowNanos) {
-        return SendRule.hasPassed(facts.servingDeadlineNanos(), nowNanos);
+    public boolean refuses(SendFacts deadlines, long nowNanos) {
+        return SendRule.hasPassed(deadlines.servingDeadlineNanos(), nowNanos);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/SlotDeadlinePassed.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/SlotDeadlinePassed.java
@@ -1,6 +1,9 @@
 package org.wigeongrade.decisions.outcomes;
 
-/** Slot at the endpoint has expired since it was taken: the leader may have given it to another entry VM. */
+/**
+ * Refuses to send because the slot has expired since it was acquired: the leader may have granted it to another entry
+ * VM.
+ */
 final class SlotDeadlinePassed implements SendRule {
     @Override
     public SendRefusal refusal() {
@@ -8,7 +11,7 @@
     }
 
     @Override
-    public boolean refuses(SendFacts facts, long nowNanos) {
-        return SendRule.hasPassed(facts.slotDeadlineNanos(), nowNanos);
+    public boolean refuses(SendFacts deadlines, long nowNanos) {
+        return SendRule.hasPassed(deadlines.slotDeadlineNanos(), nowNanos);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/StreamAssembler.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/StreamAssembler.java
@@ -9,131 +9,137 @@
 import java.util.Optional;
 
 /**
- * Puts one caller's streamed answer together from the streams of one or more attempts.
+ * Assembles one caller's streamed response from the streams of one or more attempts.
  *
- * <p>Invariants: {@link #text()} is exactly the text that was handed on for the caller, so a continuation after it loses
- * and doubles nothing; an event of an attempt that was given up changes nothing; the caller's stream ends as whole only
- * after an attempt sent both a finish reason and the end mark. The finish event and what follows it are held back
- * until the end mark, as the stream may still be cut between them.
+ * <p>Invariants: {@link #text()} is exactly the text that was forwarded to the caller, so a continuation after it
+ * neither loses nor repeats text. Events of an abandoned attempt have no effect. The caller's stream ends as complete
+ * only after an attempt sent both a finish reason and the {@code [DONE]} marker. The finish event and the events after
+ * it are held back until that marker arrives, since the stream may still break off between them.
  *
- * <p>Not thread-safe: one request's worker uses it.
+ * <p>Not thread-safe: used by one request's worker.
  */
 public final class StreamAssembler {
-    /** Event that ends a whole stream. */
-    public static final String END_MARK = "[DONE]";
+    /** Data of the event that ends a complete stream. */
+    public static final String DONE_MARKER = "[DONE]";
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final String answerId;
+    private final String responseId;
     private final StringBuilder text = new StringBuilder();
     private int attempt;
     private boolean attemptOpen;
     private boolean forwardedAny;
     private boolean resumable = true;
-    private boolean whole;
+    private boolean complete;
     private Optional<String> upstreamId = Optional.empty();
-    private final List<String> heldFinish = new ArrayList<>();
+    private final List<String> heldFinishEvents = new ArrayList<>();
 
-    /** @param answerId the id that all events carry towards the caller */
-    public StreamAssembler(String answerId) {
-        this.answerId = answerId;
+    /** @param responseId the id that all events forwarded to the caller carry */
+    public StreamAssembler(String responseId) {
+        this.responseId = responseId;
     }
 
     /**
-     * Begins the next attempt, which must continue after {@link #text()}, and returns its number for {@link #accept}.
+     * Starts the next attempt, which must continue after {@link #text()}, and returns its number for {@link #accept}.
      */
     public int beginAttempt() {
         attempt++;
         attemptOpen = true;
         upstreamId = Optional.empty();
-        heldFinish.clear();
+        heldFinishEvents.clear();
         return attempt;
     }
 
-    /** Takes in the data of one whole event of the attempt. */
+    /** Processes the data of one complete event of the attempt. */
     public StreamStep accept(int fromAttempt, String data) {
         if (fromAttempt != attempt || !attemptOpen) {
             return new StreamStep.Nothing();
         }
-        if (whole) {
-            return fail(AttemptEvent.ANSWER_MISMATCHED, "the stream went on after its end mark");
+        if (complete) {
+            return fail(AttemptEvent.ANSWER_MISMATCHED, "the stream continued after its [DONE] marker");
         }
-        if (data.equals(END_MARK)) {
+        if (data.equals(DONE_MARKER)) {
             return finish();
         }
         return parse(data)
                 .map(this::acceptChunk)
-                .orElseGet(() -> fail(AttemptEvent.CUT_SHORT, "an event of the stream is no JSON object"));
+                .orElseGet(() -> fail(AttemptEvent.CUT_SHORT, "an event of the stream is not a JSON object"));
     }
 
-    /** Tells that the attempt's stream ended; empty if the answer was whole by then. */
+    /**
+     * Handles the end of the attempt's stream. Returns the failure; empty if the response was already complete or the
+     * attempt is no longer active.
+     */
     public Optional<StreamStep.Fail> ended(int fromAttempt) {
-        if (whole || fromAttempt != attempt || !attemptOpen) {
+        if (complete || fromAttempt != attempt || !attemptOpen) {
             return Optional.empty();
         }
-        return Optional.of(fail(AttemptEvent.CUT_SHORT, "the stream ended before its end mark"));
+        return Optional.of(fail(AttemptEvent.CUT_SHORT, "the stream ended before its [DONE] marker"));
     }
 
-    /** Returns the text handed on so far: what {@code continue_from} of the next attempt must carry. */
+    /** Returns the text forwarded so far, which the next attempt must carry in {@code continue_from}. */
     public String text() {
         return text.toString();
     }
 
-    /** Returns whether any event was handed on. */
+    /** Returns whether any event was forwarded. */
     public boolean forwardedAny() {
         return forwardedAny;
     }
 
-    /** Returns whether another attempt may continue: the answer has one choice and nothing but text. */
+    /**
+     * Returns whether another attempt may continue: the response is not complete, has one choice and consists only of
+     * text.
+     */
     public boolean isResumable() {
-        return resumable && !whole;
+        return resumable && !complete;
     }
 
-    /** Returns whether the caller's answer is whole. */
+    /** Returns whether the caller's response is complete. */
     public boolean isWhole() {
-        return whole;
+        return complete;
     }
 
     private StreamStep finish() {
-        if (heldFinish.isEmpty()) {
-            return fail(AttemptEvent.CUT_SHORT, "the end mark came without a finish reason");
+        if (heldFinishEvents.isEmpty()) {
+            return fail(AttemptEvent.CUT_SHORT, "the stream sent its [DONE] marker without a finish reason");
         }
-        whole = true;
+        complete = true;
         forwardedAny = true;
-        heldFinish.add(END_MARK);
-        return new StreamStep.Finish(heldFinish);
+        heldFinishEvents.add(DONE_MARKER);
+        return new StreamStep.Finish(heldFinishEvents);
     }
 
     private StreamStep acceptChunk(ObjectNode chunk) {
         if (chunk.has("error")) {
             return fail(AttemptEvent.CUT_SHORT, "the endpoint ended the stream with an error event");
         }
-        if (!isOfSameAnswer(chunk)) {
-            return fail(AttemptEvent.ANSWER_MISMATCHED, "the stream carries events of two answers");
+        if (!isOfSameResponse(chunk)) {
+            return fail(AttemptEvent.ANSWER_MISMATCHED, "the stream contains events of two responses");
         }
-        if (!heldFinish.isEmpty() && StreamChunk.hasContent(chunk)) {
-            return fail(AttemptEvent.ANSWER_MISMATCHED, "the stream went on after its finish reason");
+        if (!heldFinishEvents.isEmpty() && StreamChunk.hasContent(chunk)) {
+            return fail(AttemptEvent.ANSWER_MISMATCHED, "the stream continued after its finish reason");
         }
         resumable &= StreamChunk.isPlainText(chunk);
-        chunk.put("id", answerId);
-        boolean hold = StreamChunk.isFinish(chunk) || !heldFinish.isEmpty();
-        return hold ? hold(chunk) : forward(chunk);
+        chunk.put("id", responseId);
+        boolean hold = StreamChunk.isFinish(chunk) || !heldFinishEvents.isEmpty();
+        return hold ? holdBack(chunk) : forward(chunk);
     }
 
-    private StreamStep hold(ObjectNode chunk) {
+    private StreamStep holdBack(ObjectNode chunk) {
         String content = StreamChunk.content(chunk);
         if (content.isEmpty()) {
-            heldFinish.add(chunk.toString());
+            heldFinishEvents.add(chunk.toString());
             return new StreamStep.Nothing();
         }
-        heldFinish.add(StreamChunk.withoutContent(chunk).toString());
+        heldFinishEvents.add(StreamChunk.withoutContent(chunk).toString());
         return forward(StreamChunk.withoutFinish(chunk));
     }
 
     private StreamStep forward(ObjectNode chunk) {
         String content = StreamChunk.content(chunk);
-        boolean repeatsOpening = attempt > 1 && forwardedAny && StreamChunk.isPlainText(chunk) && content.isEmpty();
-        if (repeatsOpening) {
+        boolean repeatsRoleEvent = attempt > 1 && forwardedAny && StreamChunk.isPlainText(chunk) && content.isEmpty();
+        if (repeatsRoleEvent) {
             return new StreamStep.Nothing();
         }
         text.append(content);
@@ -141,7 +147,7 @@
         return new StreamStep.Forward(chunk.toString());
     }
 
-    private boolean isOfSameAnswer(ObjectNode chunk) {
+    private boolean isOfSameResponse(ObjectNode chunk) {
         Optional<String> id = Optional.ofNullable(chunk.get("id")).map(JsonNode::asText);
         if (id.isEmpty() || upstreamId.isEmpty()) {
             upstreamId = upstreamId.or(() -> id);
--- a/src/main/java/org/wigeongrade/decisions/outcomes/StreamChunk.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/StreamChunk.java
@@ -5,7 +5,7 @@
 import com.google.common.collect.ImmutableSet;
 import java.util.Iterator;
 
-/** Matchers and edits for one event of a streamed completion, in the chat form and the plain form. Stateless. */
+/** Tests and edits for one event of a streamed chat or text completion. Stateless. */
 final class StreamChunk {
     private static final ImmutableSet<String> TEXT_FIELDS = ImmutableSet.of("role", "content");
 
@@ -28,7 +28,7 @@
         return firstChoice(chunk).path("finish_reason").isTextual();
     }
 
-    /** Returns whether the event holds at most one choice, and in it nothing but text. */
+    /** Returns whether the event holds at most one choice, and that choice only text. */
     static boolean isPlainText(ObjectNode chunk) {
         JsonNode choices = chunk.path("choices");
         if (choices.size() > 1 || firstChoice(chunk).path("index").asInt(0) != 0) {
--- a/src/main/java/org/wigeongrade/decisions/outcomes/StreamStep.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/StreamStep.java
@@ -3,15 +3,15 @@
 import com.google.common.collect.ImmutableList;
 import java.util.List;
 
-/** What to do after one event of a streamed answer. Immutable; safe for use from any thread. */
+/** What to do after one event of a streamed response. Immutable; safe for use from any thread. */
 public sealed interface StreamStep {
-    /** Nothing goes to the caller. */
+    /** Nothing is sent to the caller. */
     record Nothing() implements StreamStep {}
 
-    /** The event goes to the caller; {@code data} is one line without the {@code data: } prefix. */
+    /** The event is sent to the caller; {@code data} is one line without the {@code data: } prefix. */
     record Forward(String data) implements StreamStep {}
 
-    /** The answer is whole; the events go to the caller and end its stream. */
+    /** The response is complete; the events are sent to the caller and end its stream. */
     record Finish(List<String> data) implements StreamStep {
         public Finish {
             data = ImmutableList.copyOf(data);
--- a/src/main/java/org/wigeongrade/decisions/outcomes/SuspectList.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/SuspectList.java
@@ -8,8 +8,8 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * The leader's answer to a {@link CrashReport}: all suspects of the fleet. {@code acknowledgedSequence} is that of the
- * reporting entry VM's last report taken in. Immutable; safe for use from any thread.
+ * The leader's reply to a {@link CrashReport}: all suspects of the fleet. {@code acknowledgedSequence} is the sequence
+ * number of the last report that the leader applied from the entry VM. Immutable; safe for use from any thread.
  */
 public record SuspectList(long acknowledgedSequence, List<Suspect> suspects, Set<String> quarantined) {
     public SuspectList {
@@ -18,8 +18,8 @@
     }
 
     /**
-     * One suspect. Only {@code trialHolder} may run it, and begin no later than {@code trialNanos} after it asked: a span,
-     * as it crosses between two clocks.
+     * One suspect request. Only {@code trialHolder} may run it, and must start it within {@code trialNanos} after
+     * asking. The limit is a duration, since the two VMs have different clocks.
      */
     public record Suspect(String requestDigest, int endpointsLost, Optional<NodeName> trialHolder, long trialNanos) {}
 }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/SuspectTable.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/SuspectTable.java
@@ -13,18 +13,18 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * An entry VM's view of the requests that may crash endpoints.
+ * An entry VM's view of the suspect requests (requests that may crash endpoints).
  *
- * <p>Invariants: a digest in flight at an endpoint when it was lost is a suspect here at once, before the leader hears of
- * it; this VM runs one request of a suspect digest at a time, and only while the leader's trial is its own; an endpoint
- * that runs a suspect gets nothing else from this VM. Losses and completions are reported until they are acknowledged.
- * All times are on this VM's monotonic clock, in nanoseconds.
+ * <p>Invariants: a digest in flight at an endpoint when the endpoint is lost becomes a suspect here at once, before the
+ * leader learns of it. This VM runs at most one request with a suspect digest at a time, and only while it holds the
+ * leader's trial. An endpoint that runs a suspect gets no other request from this VM. Losses and completions are
+ * reported until they are acknowledged. All times are on this VM's monotonic clock, in nanoseconds.
  *
- * <p>Thread safety: all methods lock the table, which is a leaf: nothing else is locked inside.
+ * <p>Thread safety: every method locks this object and acquires no other lock while holding it.
  */
 public final class SuspectTable {
     private final NodeName self;
-    private final long exchangeMs;
+    private final long exchangeIntervalMs;
     private final Map<EndpointLife, Multiset<String>> inFlight = new HashMap<>();
     private final Map<String, EndpointId> trials = new HashMap<>();
     private final Map<String, Long> trialDeadlinesNanos = new HashMap<>();
@@ -35,13 +35,15 @@
     private Set<String> quarantined = ImmutableSet.of();
     private long sequence;
 
-    /** @param exchangeMs time between two exchanges with the leader, in milliseconds */
-    public SuspectTable(NodeName self, long exchangeMs) {
+    /** @param exchangeIntervalMs time between two exchanges with the leader, in milliseconds */
+    public SuspectTable(NodeName self, long exchangeIntervalMs) {
         this.self = self;
-        this.exchangeMs = exchangeMs;
+        this.exchangeIntervalMs = exchangeIntervalMs;
     }
 
-    /** Returns whether the request may be sent; a suspect that may not be sent asks for a trial in the next exchange. */
+    /**
+     * Returns whether the request may be sent. A suspect that may not be sent asks for a trial in the next exchange.
+     */
     public synchronized SuspectVerdict check(String requestDigest, long nowNanos) {
         if (quarantined.contains(requestDigest)) {
             return new SuspectVerdict.Quarantined();
@@ -49,41 +51,41 @@
         if (!isSuspect(requestDigest)) {
             return new SuspectVerdict.Clear();
         }
-        wantedUntilNanos.put(requestDigest, nowNanos + TimeUnit.MILLISECONDS.toNanos(4 * exchangeMs));
-        boolean mayBegin = nowNanos - trialDeadlinesNanos.getOrDefault(requestDigest, nowNanos) < 0;
-        if (mayBegin && !trials.containsKey(requestDigest) && !isInFlight(requestDigest)) {
+        wantedUntilNanos.put(requestDigest, nowNanos + TimeUnit.MILLISECONDS.toNanos(4 * exchangeIntervalMs));
+        boolean holdsTrial = nowNanos - trialDeadlinesNanos.getOrDefault(requestDigest, nowNanos) < 0;
+        if (holdsTrial && !trials.containsKey(requestDigest) && !isInFlight(requestDigest)) {
             return new SuspectVerdict.RunAlone();
         }
-        return new SuspectVerdict.ComeBack(2 * exchangeMs);
+        return new SuspectVerdict.ComeBack(2 * exchangeIntervalMs);
     }
 
     /** Counts a request that is about to be sent. */
-    public synchronized void begin(String requestDigest, EndpointLife life) {
-        inFlight.computeIfAbsent(life, key -> HashMultiset.create()).add(requestDigest);
+    public synchronized void begin(String requestDigest, EndpointLife incarnation) {
+        inFlight.computeIfAbsent(incarnation, key -> HashMultiset.create()).add(requestDigest);
         if (isSuspect(requestDigest)) {
-            trials.put(requestDigest, life.endpoint());
+            trials.put(requestDigest, incarnation.endpoint());
         }
     }
 
     /** Counts the end of a request whose endpoint was not lost; {@code event} tells how it ended. */
-    public synchronized void end(String requestDigest, EndpointLife life, AttemptEvent event) {
+    public synchronized void end(String requestDigest, EndpointLife incarnation, AttemptEvent event) {
         boolean wasSuspect = isSuspect(requestDigest);
-        forget(requestDigest, life);
+        removeInFlight(requestDigest, incarnation);
         if (wasSuspect && event == AttemptEvent.ANSWERED) {
             losses.removeIf(loss -> loss.requestDigest().equals(requestDigest));
-            completions.add(new CrashReport.Completion(requestDigest, life));
+            completions.add(new CrashReport.Completion(requestDigest, incarnation));
             sequence++;
         }
     }
 
-    /** Makes each request in flight at a lost endpoint a suspect. */
-    public synchronized void endpointLost(EndpointLife life) {
-        Multiset<String> digests = inFlight.remove(life);
+    /** Marks each request in flight at a lost endpoint as a suspect. */
+    public synchronized void endpointLost(EndpointLife incarnation) {
+        Multiset<String> digests = inFlight.remove(incarnation);
         if (digests == null) {
             return;
         }
         for (String digest : digests.elementSet()) {
-            losses.add(new CrashReport.Loss(digest, life));
+            losses.add(new CrashReport.Loss(digest, incarnation));
             completions.removeIf(completion -> completion.requestDigest().equals(digest));
             trials.remove(digest);
             trialDeadlinesNanos.remove(digest);
@@ -91,29 +93,31 @@
         sequence++;
     }
 
-    /** Makes one request a suspect whose own connection failed in a way that a crash of its endpoint would explain. */
-    public synchronized void lost(String requestDigest, EndpointLife life) {
-        forget(requestDigest, life);
-        losses.add(new CrashReport.Loss(requestDigest, life));
+    /**
+     * Marks one request as a suspect because its connection failed in a way that a crash of the endpoint would explain.
+     */
+    public synchronized void lost(String requestDigest, EndpointLife incarnation) {
+        removeInFlight(requestDigest, incarnation);
+        losses.add(new CrashReport.Loss(requestDigest, incarnation));
         trialDeadlinesNanos.remove(requestDigest);
         sequence++;
     }
 
-    /** Returns what the leader has not acknowledged yet. */
+    /** Returns the losses and completions that the leader has not acknowledged yet. */
     public synchronized CrashReport report() {
         return new CrashReport(sequence, losses, completions);
     }
 
     /** Returns the suspects that this VM wants to run or is running. */
     public synchronized ImmutableSet<String> wantedTrials(long nowNanos) {
-        wantedUntilNanos.values().removeIf(until -> nowNanos - until > 0);
+        wantedUntilNanos.values().removeIf(deadlineNanos -> nowNanos - deadlineNanos > 0);
         return ImmutableSet.<String>builder()
                 .addAll(wantedUntilNanos.keySet())
                 .addAll(trials.keySet())
                 .build();
     }
 
-    /** Applies the leader's answer to a report sent at {@code reportSentNanos}. */
+    /** Applies the leader's reply to a report sent at {@code reportSentNanos}. */
     public synchronized void apply(SuspectList list, long reportSentNanos) {
         if (list.acknowledgedSequence() >= sequence) {
             losses.clear();
@@ -130,20 +134,20 @@
         }
     }
 
-    /** Returns whether this VM runs a suspect at the endpoint, which must be alone there. */
+    /** Returns whether this VM is running a suspect at the endpoint, which must run there on its own. */
     public synchronized boolean isReservedForSuspect(EndpointId endpoint) {
         return trials.containsValue(endpoint);
     }
 
-    private void forget(String requestDigest, EndpointLife life) {
-        trials.remove(requestDigest, life.endpoint());
-        Multiset<String> digests = inFlight.get(life);
+    private void removeInFlight(String requestDigest, EndpointLife incarnation) {
+        trials.remove(requestDigest, incarnation.endpoint());
+        Multiset<String> digests = inFlight.get(incarnation);
         if (digests == null) {
             return;
         }
         digests.remove(requestDigest);
         if (digests.isEmpty()) {
-            inFlight.remove(life);
+            inFlight.remove(incarnation);
         }
     }
 
--- a/src/main/java/org/wigeongrade/decisions/outcomes/ViewLeaseEnded.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/ViewLeaseEnded.java
@@ -1,6 +1,9 @@
 package org.wigeongrade.decisions.outcomes;
 
-/** View lease of this entry VM has ended: it may not know what operators changed since. */
+/**
+ * Refuses to send because the view lease of this entry VM has ended: operators may have made changes since that it does
+ * not know of.
+ */
 final class ViewLeaseEnded implements SendRule {
     @Override
     public SendRefusal refusal() {
@@ -8,7 +11,7 @@
     }
 
     @Override
-    public boolean refuses(SendFacts facts, long nowNanos) {
-        return SendRule.hasPassed(facts.viewLeaseDeadlineNanos(), nowNanos);
+    public boolean refuses(SendFacts deadlines, long nowNanos) {
+        return SendRule.hasPassed(deadlines.viewLeaseDeadlineNanos(), nowNanos);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/outcomes/package-info.java
+++ b/src/main/java/org/wigeongrade/decisions/outcomes/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Outcome of each attempt, resumable streams, claims on single sends, requests that crash endpoints, and the last check
- * before a send.
+ * Attempt outcomes, resumable streams, claims on single sends, requests that may crash endpoints, and the final check
+ * before a request is sent.
  */
 package org.wigeongrade.decisions.outcomes;
--- a/src/main/java/org/wigeongrade/decisions/routing/AffinityChoice.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/AffinityPolicy.java
@@ -8,44 +8,44 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Picks the endpoint whose cache holds the longest prefix of the prompt, unless its load is too far above the mean. For a
- * prefix that no index knows, all entry VMs pick the same home endpoint by rendezvous hashing, so that cache events may
- * come late. Stateless.
+ * Picks the endpoint whose cache holds the longest prefix of the prompt, unless its load is too far above the mean. If
+ * no endpoint is known to have cached the prefix, all entry VMs pick the same home endpoint for it by rendezvous
+ * hashing, so the choice is consistent even before cache events arrive. Stateless.
  */
-final class AffinityChoice {
-    /** Load above the mean, as part of what an endpoint can bear, up to which its cache outweighs its load. */
-    private static final double TOLERATED_EXTRA_LOAD = 0.25;
+final class AffinityPolicy {
+    /** How far the load ratio of an endpoint may exceed the mean before its load outweighs its cached prefix. */
+    private static final double MAX_LOAD_ABOVE_MEAN = 0.25;
 
-    private AffinityChoice() {}
+    private AffinityPolicy() {}
 
     static Choice pick(
             ImmutableList<EndpointView> candidates, RouteContext context, boolean useHome, RandomGenerator random) {
         if (context.request().prefixDigests().isEmpty()) {
-            return Choices.lessLoadedOfTwo(candidates, context, random);
+            return LoadBalancingPolicies.lessLoadedOfTwo(candidates, context, random);
         }
-        double loadLimit = meanLoad(candidates, context) + TOLERATED_EXTRA_LOAD;
-        ImmutableList<EndpointView> bearable = candidates.stream()
+        double loadLimit = meanLoad(candidates, context) + MAX_LOAD_ABOVE_MEAN;
+        ImmutableList<EndpointView> eligible = candidates.stream()
                 .filter(endpoint -> context.loadRatio(endpoint) <= loadLimit)
                 .collect(ImmutableList.toImmutableList());
-        return cached(bearable, context)
-                .or(() -> useHome ? home(bearable, context) : Optional.empty())
-                .orElseGet(() -> Choices.lessLoadedOfTwo(candidates, context, random));
+        return pickCached(eligible, context)
+                .or(() -> useHome ? pickHome(eligible, context) : Optional.empty())
+                .orElseGet(() -> LoadBalancingPolicies.lessLoadedOfTwo(candidates, context, random));
     }
 
-    private static Optional<Choice> cached(ImmutableList<EndpointView> bearable, RouteContext context) {
-        return bearable.stream()
+    private static Optional<Choice> pickCached(ImmutableList<EndpointView> eligible, RouteContext context) {
+        return eligible.stream()
                 .filter(endpoint -> matchedBlocks(endpoint, context) > 0)
                 .max(Comparator.<EndpointView>comparingInt(endpoint -> matchedBlocks(endpoint, context))
                         .thenComparing(Comparator.<EndpointView>comparingDouble(context::loadRatio)
                                 .reversed()))
-                .map(endpoint -> new Choice(endpoint, ChoiceReason.CACHED_PREFIX, bearable));
+                .map(endpoint -> new Choice(endpoint, ChoiceReason.CACHED_PREFIX, eligible));
     }
 
-    private static Optional<Choice> home(ImmutableList<EndpointView> bearable, RouteContext context) {
+    private static Optional<Choice> pickHome(ImmutableList<EndpointView> eligible, RouteContext context) {
         String firstBlock = context.request().prefixDigests().get(0);
-        return bearable.stream()
+        return eligible.stream()
                 .max(Comparator.comparingLong(endpoint -> homeWeight(firstBlock, endpoint)))
-                .map(endpoint -> new Choice(endpoint, ChoiceReason.PREFIX_HOME, bearable));
+                .map(endpoint -> new Choice(endpoint, ChoiceReason.PREFIX_HOME, eligible));
     }
 
     private static long homeWeight(String firstBlock, EndpointView endpoint) {
--- a/src/main/java/org/wigeongrade/decisions/routing/AlreadyAnswered.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/AlreadyAnswered.java
@@ -2,7 +2,7 @@
 
 import org.wigeongrade.errors.RunClaim;
 
-/** The whole answer came, whatever it says. */
+/** Refuses a retry because the complete response was received, whatever its status. */
 final class AlreadyAnswered implements RetryRule {
     @Override
     public RetryRefusal refusal() {
--- a/src/main/java/org/wigeongrade/decisions/routing/AnswerNotResumable.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/AnswerNotResumable.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.routing;
 
-/** Part of the answer went to the caller and no other endpoint can continue it. */
+/** Refuses a retry because part of the response was forwarded to the caller and no other endpoint can continue it. */
 final class AnswerNotResumable implements RetryRule {
     @Override
     public RetryRefusal refusal() {
--- a/src/main/java/org/wigeongrade/decisions/routing/AttemptsExhausted.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/AttemptsExhausted.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.routing;
 
-/** The request was tried as often as one request may be. */
+/** Refuses a retry because the request has used its maximum number of attempts. */
 final class AttemptsExhausted implements RetryRule {
     @Override
     public RetryRefusal refusal() {
--- a/src/main/java/org/wigeongrade/decisions/routing/CandidateRule.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/CandidateRule.java
@@ -2,9 +2,9 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** One reason to leave an endpoint out. Implementations are stateless. */
+/** A reason to exclude an endpoint from routing. Implementations are stateless. */
 public interface CandidateRule {
-    /** All rules, in the order in which they are asked: the first that matches gives the reason. */
+    /** All rules in evaluation order: the first rule that rejects an endpoint gives the reason. */
     ImmutableList<CandidateRule> ALL = ImmutableList.of(
             new WrongTarget(),
             new Leaving(),
--- a/src/main/java/org/wigeongrade/decisions/routing/Choice.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/Choice.java
@@ -2,5 +2,7 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** The endpoint picked, why, and the endpoints looked at. Immutable; safe for use from any thread. */
+/**
+ * The chosen endpoint, the reason for choosing it, and the endpoints compared. Immutable; safe for use from any thread.
+ */
 record Choice(EndpointView endpoint, ChoiceReason reason, ImmutableList<EndpointView> considered) {}
--- a/src/main/java/org/wigeongrade/decisions/routing/ChoiceReason.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/ChoiceReason.java
@@ -12,7 +12,7 @@
     LEAST_LOADED,
     NEXT_IN_TURN;
 
-    /** Returns the code as it stands in answers, counters and docs. */
+    /** Returns the code used in responses, counters and docs. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/wigeongrade/decisions/routing/ColdFull.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/ColdFull.java
@@ -1,6 +1,9 @@
 package org.wigeongrade.decisions.routing;
 
-/** Cold endpoint reports as many requests as it can bear, counting those that others sent before it turned cold. */
+/**
+ * Rejects a cold endpoint that reports as many requests as it can handle, including those that other entry VMs sent
+ * before it became cold.
+ */
 final class ColdFull implements CandidateRule {
     @Override
     public RouteReason reason() {
@@ -9,6 +12,6 @@
 
     @Override
     public boolean rejects(EndpointView endpoint, RouteContext context) {
-        return endpoint.cold() && endpoint.load().total() >= endpoint.bearableRequests();
+        return endpoint.cold() && endpoint.load().total() >= endpoint.currentCapacity();
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/routing/ColdNotHolder.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/ColdNotHolder.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Endpoint is cold and another entry VM is named to send to it alone. */
+/** Rejects a cold endpoint if this entry VM is not the one that may send to it. */
 final class ColdNotHolder implements CandidateRule {
     @Override
     public RouteReason reason() {
--- a/src/main/java/org/wigeongrade/decisions/routing/DeadlineTooNear.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/DeadlineTooNear.java
@@ -2,9 +2,9 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The deadline leaves no time for another attempt, so the caller gets its final answer at once. */
+/** Refuses a retry because too little time is left before the deadline; the caller gets its final response at once. */
 final class DeadlineTooNear implements RetryRule {
-    private static final long LEAST_TIME_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long MIN_REMAINING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     @Override
     public RetryRefusal refusal() {
@@ -13,6 +13,6 @@
 
     @Override
     public boolean refuses(RetryFacts facts, RetryBudget budget) {
-        return facts.deadlineNanos() - facts.nowNanos() < LEAST_TIME_NANOS;
+        return facts.deadlineNanos() - facts.nowNanos() < MIN_REMAINING_NANOS;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/routing/EndpointKind.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/EndpointKind.java
@@ -2,12 +2,12 @@
 
 import java.util.Locale;
 
-/** What takes requests at an endpoint. */
+/** The kind of process that handles requests at an endpoint. */
 public enum EndpointKind {
     ENGINE,
     SERVICE;
 
-    /** Returns the name as it stands in announcements. */
+    /** Returns the name used in announcements. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/wigeongrade/decisions/routing/EndpointView.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/EndpointView.java
@@ -7,12 +7,12 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * What an entry VM knows of one endpoint: a whole group, or a replica of a plain service.
+ * What an entry VM knows of one endpoint: a complete group, or a replica of a plain service.
  *
- * <p>{@code incarnation} is that of the endpoint process which takes the requests. {@code servingDeadlineNanos} is the
- * end of the serving lease on this VM's monotonic clock, never later than the earliest announcement lease of the group's
- * members. {@code coldHolder} is the entry VM that alone may send while the endpoint is cold. Immutable; safe for use
- * from any thread.
+ * <p>{@code incarnation} is that of the endpoint process that receives the requests. {@code servingDeadlineNanos} is
+ * the end of the serving lease on this VM's monotonic clock, never later than the earliest announcement lease of the
+ * group's members. {@code coldHolder} is the only entry VM that may send while the endpoint is cold. Immutable; safe
+ * for use from any thread.
  */
 public record EndpointView(
         EndpointId id,
@@ -29,8 +29,8 @@
         long servingDeadlineNanos,
         LoadReport load,
         FencingToken fencingToken) {
-    /** Returns what the endpoint can bear now, in requests in flight; 1 at least. */
-    public int bearableRequests() {
+    /** Returns the number of requests in flight that the endpoint can handle now, at least 1. */
+    public int currentCapacity() {
         return Math.max(1, cold ? coldCapacity : capacity);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/routing/Excluded.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/Excluded.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.routing;
 
-/** Request was tried on this endpoint before. */
+/** Rejects an endpoint on which this request was tried before. */
 final class Excluded implements CandidateRule {
     @Override
     public RouteReason reason() {
--- a/src/main/java/org/wigeongrade/decisions/routing/Leaving.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/Leaving.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.routing;
 
-/** Endpoint is shutting down: it ends what it runs and takes no new work. */
+/** Rejects an endpoint that is shutting down: it finishes its running requests and accepts no new ones. */
 final class Leaving implements CandidateRule {
     @Override
     public RouteReason reason() {
--- a/src/main/java/org/wigeongrade/decisions/routing/Choices.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/LoadBalancingPolicies.java
@@ -4,12 +4,12 @@
 import java.util.Comparator;
 import java.util.random.RandomGenerator;
 
-/** Ways to pick by load alone. Stateless. */
-final class Choices {
-    private Choices() {}
+/** Load balancing policies that ignore the contents of the prompt caches. Stateless. */
+final class LoadBalancingPolicies {
+    private LoadBalancingPolicies() {}
 
-    static Choice inTurn(ImmutableList<EndpointView> candidates, long turn) {
-        EndpointView picked = candidates.get((int) Math.floorMod(turn, (long) candidates.size()));
+    static Choice roundRobin(ImmutableList<EndpointView> candidates, long position) {
+        EndpointView picked = candidates.get((int) Math.floorMod(position, (long) candidates.size()));
         return new Choice(picked, ChoiceReason.NEXT_IN_TURN, ImmutableList.of(picked));
     }
 
@@ -24,15 +24,15 @@
             ImmutableList<EndpointView> candidates, RouteContext context, RandomGenerator random) {
         int first = random.nextInt(candidates.size());
         int second = (first + 1 + random.nextInt(candidates.size() - 1)) % candidates.size();
-        EndpointView one = candidates.get(first);
-        EndpointView other = candidates.get(second);
-        ImmutableList<EndpointView> considered = ImmutableList.of(one, other);
-        int byLoad = Double.compare(context.loadRatio(one), context.loadRatio(other));
+        EndpointView firstEndpoint = candidates.get(first);
+        EndpointView secondEndpoint = candidates.get(second);
+        ImmutableList<EndpointView> considered = ImmutableList.of(firstEndpoint, secondEndpoint);
+        int byLoad = Double.compare(context.loadRatio(firstEndpoint), context.loadRatio(secondEndpoint));
         if (byLoad != 0) {
-            return new Choice(byLoad < 0 ? one : other, ChoiceReason.LESS_LOADED_OF_TWO, considered);
+            return new Choice(byLoad < 0 ? firstEndpoint : secondEndpoint, ChoiceReason.LESS_LOADED_OF_TWO, considered);
         }
-        boolean otherIsNearer = isInOwnZone(other, context) && !isInOwnZone(one, context);
-        return new Choice(otherIsNearer ? other : one, ChoiceReason.SAME_ZONE, considered);
+        boolean onlySecondIsInOwnZone = isInOwnZone(secondEndpoint, context) && !isInOwnZone(firstEndpoint, context);
+        return new Choice(onlySecondIsInOwnZone ? secondEndpoint : firstEndpoint, ChoiceReason.SAME_ZONE, considered);
     }
 
     static boolean isInOwnZone(EndpointView endpoint, RouteContext context) {
--- a/src/main/java/org/wigeongrade/decisions/routing/MayHaveRun.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/MayHaveRun.java
@@ -2,7 +2,10 @@
 
 import org.wigeongrade.errors.RunClaim;
 
-/** The request is not idempotent and may have run; running it again could double its effect. */
+/**
+ * Refuses a retry because the request is not idempotent and may have run; running it again could apply its effect
+ * twice.
+ */
 final class MayHaveRun implements RetryRule {
     @Override
     public RetryRefusal refusal() {
--- a/src/main/java/org/wigeongrade/decisions/routing/NoFreeSlot.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/NoFreeSlot.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.routing;
 
-/** This VM's share of the endpoint's capacity is in use or has expired. */
+/** Rejects an endpoint if this VM's share of its capacity is fully used or has expired. */
 final class NoFreeSlot implements CandidateRule {
     @Override
     public RouteReason reason() {
--- a/src/main/java/org/wigeongrade/decisions/routing/PrefixIndex.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/PrefixIndex.java
@@ -7,26 +7,27 @@
 import org.wigeongrade.ids.EndpointId;
 
 /**
- * Which prompt prefixes each engine has in its cache, from the engines' cache events.
+ * Tracks which prompt prefixes each engine has cached, based on the engines' cache events.
  *
- * <p>Invariant: an engine's index holds only what its events said without a gap; a gap or a new incarnation drops that
- * engine's index, as it may name blocks that are gone. Each engine's index holds {@code maxBlocks} digests at most and
- * forgets the oldest first.
+ * <p>Invariant: an engine's index reflects only cache events received without a gap; a gap or a new incarnation clears
+ * that engine's index, since it may list blocks that were evicted. The index of each engine holds at most
+ * {@code maxBlocks} digests and evicts the oldest first.
  *
- * <p>Thread safety: all methods lock the index, which is a leaf: nothing else is locked inside.
+ * <p>Thread safety: every method locks this object and acquires no other lock while holding it.
  */
 public final class PrefixIndex {
     private final int maxBlocks;
     private final Map<EndpointId, EngineIndex> engines = new HashMap<>();
 
-    /** @param maxBlocks digests kept for each engine */
+    /** @param maxBlocks maximum number of digests kept for each engine */
     public PrefixIndex(int maxBlocks) {
         this.maxBlocks = maxBlocks;
     }
 
     /**
-     * Applies cache events of one announcement. {@code firstSequence} is the sequence of its first event; added and
-     * removed digests count one each, added first. Events known already are skipped.
+     * Applies the cache events of one announcement. {@code firstSequence} is the sequence number of the first event.
+     * Each digest counts as one event; the added digests come before the removed ones. Events that were applied before
+     * are skipped.
      */
     public synchronized void apply(
             EndpointId engine, long incarnation, long firstSequence, List<String> added, List<String> removed) {
@@ -38,12 +39,12 @@
         index.apply(firstSequence, added, removed, maxBlocks);
     }
 
-    /** Forgets an engine. */
+    /** Removes the index of an engine. */
     public synchronized void remove(EndpointId engine) {
         engines.remove(engine);
     }
 
-    /** Returns how many leading blocks of the prompt the engine has in its cache. */
+    /** Returns how many leading blocks of the prompt the engine has cached. */
     public synchronized int matchedBlocks(EndpointId engine, List<String> prefixDigests) {
         EngineIndex index = engines.get(engine);
         if (index == null) {
@@ -56,7 +57,7 @@
         return matched;
     }
 
-    /** Returns how many digests are kept of an engine. */
+    /** Returns how many digests are kept for an engine. */
     public synchronized int size(EndpointId engine) {
         EngineIndex index = engines.get(engine);
         return index == null ? 0 : index.digests.size();
@@ -79,21 +80,21 @@
             }
             long sequence = firstSequence;
             for (String digest : added) {
-                if (isNext(sequence)) {
+                if (advanceIfNext(sequence)) {
                     digests.put(digest, Boolean.TRUE);
                 }
                 sequence++;
             }
             for (String digest : removed) {
-                if (isNext(sequence)) {
+                if (advanceIfNext(sequence)) {
                     digests.remove(digest);
                 }
                 sequence++;
             }
-            forgetOldest(maxBlocks);
+            evictOldest(maxBlocks);
         }
 
-        private boolean isNext(long sequence) {
+        private boolean advanceIfNext(long sequence) {
             if (sequence != nextSequence) {
                 return false;
             }
@@ -101,7 +102,7 @@
             return true;
         }
 
-        private void forgetOldest(int maxBlocks) {
+        private void evictOldest(int maxBlocks) {
             var oldest = digests.keySet().iterator();
             while (digests.size() > maxBlocks) {
                 oldest.next();
--- a/src/main/java/org/wigeongrade/decisions/routing/Retries.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/Retries.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Decides whether a request is tried again. Safe for use from any thread: the budget guards itself. */
+/** Decides whether a request is retried. Safe for use from any thread: the budget is thread-safe. */
 public final class Retries {
     private final RetryBudget budget;
 
@@ -10,12 +10,15 @@
         this.budget = budget;
     }
 
-    /** Counts a request's first attempt, which earns part of a retry for its target. */
+    /** Counts the first attempt of a request, which earns a fraction of a retry for its target. */
     public void firstAttempt(RouteTarget target) {
         budget.firstAttempt(target);
     }
 
-    /** Returns why the request is not tried again; empty if it may be, and then one retry of the budget is taken. */
+    /**
+     * Returns why the request must not be retried; empty if it may be, in which case one retry is taken from the
+     * budget.
+     */
     public Optional<RetryRefusal> refusal(RetryFacts facts) {
         return RetryRule.ALL.stream()
                 .filter(rule -> rule.refuses(facts, budget))
--- a/src/main/java/org/wigeongrade/decisions/routing/RetryBudget.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/RetryBudget.java
@@ -4,21 +4,21 @@
 import java.util.Map;
 
 /**
- * Bounds the retries for each target to a part of its first attempts, so that retries never multiply an overload.
+ * Limits the retries for each target to a fraction of its first attempts, so that retries never amplify an overload.
  *
- * <p>Invariant: over any span the retries of a target are at most {@code retriesPerAttempt} times its first attempts,
- * plus {@code reserve}. Nothing is earned by the clock.
+ * <p>Invariant: over any period the retries of a target are at most {@code retriesPerAttempt} times its first attempts,
+ * plus {@code reserve}. Retries are earned only by first attempts, not by the passage of time.
  *
- * <p>Thread safety: all methods lock the budget, which is a leaf: nothing else is locked inside.
+ * <p>Thread safety: every method locks this object and acquires no other lock while holding it.
  */
 public final class RetryBudget {
     private final double retriesPerAttempt;
     private final double reserve;
-    private final Map<RouteTarget, Double> tokens = new HashMap<>();
+    private final Map<RouteTarget, Double> balances = new HashMap<>();
 
     /**
      * @param retriesPerAttempt retries that each first attempt earns
-     * @param reserve retries that a target may save up
+     * @param reserve maximum number of unused retries that a target may accumulate
      */
     public RetryBudget(double retriesPerAttempt, double reserve) {
         this.retriesPerAttempt = retriesPerAttempt;
@@ -27,22 +27,22 @@
 
     /** Counts a first attempt. */
     public synchronized void firstAttempt(RouteTarget target) {
-        double saved = tokens.getOrDefault(target, reserve);
-        tokens.put(target, Math.min(reserve, saved + retriesPerAttempt));
+        double balance = balances.getOrDefault(target, reserve);
+        balances.put(target, Math.min(reserve, balance + retriesPerAttempt));
     }
 
     /** Returns whether a retry could be taken now. */
     public synchronized boolean hasRetry(RouteTarget target) {
-        return tokens.getOrDefault(target, reserve) >= 1;
+        return balances.getOrDefault(target, reserve) >= 1;
     }
 
     /** Takes one retry; returns false if the budget is spent. */
     public synchronized boolean tryRetry(RouteTarget target) {
-        double saved = tokens.getOrDefault(target, reserve);
-        if (saved < 1) {
+        double balance = balances.getOrDefault(target, reserve);
+        if (balance < 1) {
             return false;
         }
-        tokens.put(target, saved - 1);
+        balances.put(target, balance - 1);
         return true;
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/routing/RetryBudgetSpent.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/RetryBudgetSpent.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.routing;
 
-/** Retries of this target have used up what its first attempts earned. */
+/** Refuses a retry because the target has spent the retries that its first attempts earned. */
 final class RetryBudgetSpent implements RetryRule {
     @Override
     public RetryRefusal refusal() {
--- a/src/main/java/org/wigeongrade/decisions/routing/RetryFacts.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/RetryFacts.java
@@ -3,10 +3,11 @@
 import org.wigeongrade.errors.RunClaim;
 
 /**
- * What decides whether a request may be tried again.
+ * The facts that decide whether a request may be retried.
  *
- * <p>{@code resumable} is true if nothing of the answer was handed on, or the next attempt can continue after what was.
- * {@code deadlineNanos} is the caller's, on this VM's monotonic clock. Immutable; safe for use from any thread.
+ * <p>{@code resumable} is true if no part of the response was forwarded yet, or if the next attempt can continue after
+ * the forwarded part. {@code deadlineNanos} is the caller's deadline on this VM's monotonic clock. Immutable; safe for
+ * use from any thread.
  */
 public record RetryFacts(
         RouteTarget target,
--- a/src/main/java/org/wigeongrade/decisions/routing/RetryRefusal.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/RetryRefusal.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Why a request is not tried again; the codes are documented in docs/RULES-routing.md. */
+/** Why a request is not retried; the codes are documented in docs/RULES-routing.md. */
 public enum RetryRefusal {
     ALREADY_ANSWERED,
     MAY_HAVE_RUN,
@@ -11,7 +11,7 @@
     DEADLINE_TOO_NEAR,
     RETRY_BUDGET_SPENT;
 
-    /** Returns the code as it stands in answers, counters and docs. */
+    /** Returns the code used in responses, counters and docs. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/wigeongrade/decisions/routing/RetryRule.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/RetryRule.java
@@ -2,9 +2,9 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** One reason not to try a request again. Implementations are stateless. */
+/** A reason not to retry a request. Implementations are stateless. */
 interface RetryRule {
-    /** All rules, in the order in which they are asked; the budget comes last, as only it is used up. */
+    /** All rules in evaluation order. The budget comes last, since checking it consumes a retry. */
     ImmutableList<RetryRule> ALL = ImmutableList.of(
             new AlreadyAnswered(),
             new MayHaveRun(),
@@ -15,6 +15,6 @@
 
     RetryRefusal refusal();
 
-    /** Returns whether the request must not be tried again. */
+    /** Returns whether the request must not be retried. */
     boolean refuses(RetryFacts facts, RetryBudget budget);
 }
--- a/src/main/java/org/wigeongrade/decisions/routing/RouteDecision.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/RouteDecision.java
@@ -8,15 +8,18 @@
 import org.wigeongrade.errors.ErrorKind;
 import org.wigeongrade.ids.EndpointId;
 
-/** What a routing decision gave, with enough to explain it to operators. Immutable; safe for use from any thread. */
+/**
+ * The result of a routing decision, with enough detail to explain it to operators. Immutable; safe for use from any
+ * thread.
+ */
 public sealed interface RouteDecision {
-    /** Returns one line that tells what was decided and why. */
+    /** Returns a one-line explanation of the decision. */
     String explanation();
 
-    /** Returns how many endpoints were left out for each reason. */
+    /** Returns how many endpoints were rejected for each reason. */
     Map<RouteReason, Integer> rejections();
 
-    /** One endpoint takes the request. */
+    /** An endpoint was chosen for the request. */
     record Chosen(
             EndpointView endpoint,
             ChoiceReason reason,
@@ -32,11 +35,12 @@
         public String explanation() {
             String considered =
                     candidatesConsidered.stream().map(Considered::toString).collect(Collectors.joining(", "));
-            return "chose " + endpoint.id() + " by " + reason.code() + " of " + considered + counts(rejections);
+            return "chose " + endpoint.id() + " by " + reason.code() + " from " + considered
+                    + rejectionSummary(rejections);
         }
     }
 
-    /** No endpoint may take the request now; it was not sent. */
+    /** No endpoint may receive the request now; it was not sent. */
     record Refused(ErrorKind kind, Map<RouteReason, Integer> rejections) implements RouteDecision {
         public Refused {
             rejections = ImmutableMap.copyOf(rejections);
@@ -44,11 +48,11 @@
 
         @Override
         public String explanation() {
-            return "refused as " + kind.code() + counts(rejections);
+            return "refused as " + kind.code() + rejectionSummary(rejections);
         }
     }
 
-    /** One endpoint that the choice looked at. */
+    /** An endpoint that was compared when choosing. */
     record Considered(EndpointId endpoint, double loadRatio, int matchedBlocks) {
         @Override
         public String toString() {
@@ -56,11 +60,11 @@
         }
     }
 
-    private static String counts(Map<RouteReason, Integer> rejections) {
+    private static String rejectionSummary(Map<RouteReason, Integer> rejections) {
         if (rejections.isEmpty()) {
             return "";
         }
-        return "; left out: "
+        return "; rejected: "
                 + rejections.entrySet().stream()
                         .map(entry -> entry.getValue() + " " + entry.getKey().code())
                         .collect(Collectors.joining(", "));
--- a/src/main/java/org/wigeongrade/decisions/routing/RouteReason.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/RouteReason.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Why an endpoint was left out of a routing decision; the codes are documented in docs/RULES-routing.md. */
+/** Why an endpoint was rejected in a routing decision; the codes are documented in docs/RULES-routing.md. */
 public enum RouteReason {
     WRONG_TARGET,
     EXCLUDED,
@@ -14,12 +14,12 @@
     SUSPECT_RUNNING,
     NO_FREE_SLOT;
 
-    /** Returns the code as it stands in answers, counters and docs. */
+    /** Returns the code used in responses, counters and docs. */
     public String code() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns whether the endpoint serves the target but can bear no more now, so that coming back soon helps. */
+    /** Returns whether the endpoint serves the target but has no free capacity, so that retrying soon may succeed. */
     public boolean isLackOfCapacity() {
         return switch (this) {
             case COLD_NOT_HOLDER, COLD_FULL, SUSPECT_RUNNING, NO_FREE_SLOT -> true;
--- a/src/main/java/org/wigeongrade/decisions/routing/RouteRequest.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/RouteRequest.java
@@ -9,11 +9,11 @@
 import org.wigeongrade.ids.NodeName;
 
 /**
- * One request that needs an endpoint.
+ * A request that needs an endpoint.
  *
- * <p>{@code prefixDigests} name the blocks of the prompt from its start, each digest covering all blocks before it.
- * {@code excluded} are endpoints that this request was tried on before. {@code alone} is set for a request that may
- * crash its endpoint. Immutable; safe for use from any thread.
+ * <p>{@code prefixDigests} identify the blocks of the prompt from its start; each digest covers its block and all
+ * earlier ones. {@code excluded} are the endpoints on which this request was tried before. {@code isolated} is set for
+ * a request that may crash its endpoint and so must run there on its own. Immutable; safe for use from any thread.
  */
 public record RouteRequest(
         RouteTarget target,
@@ -22,18 +22,18 @@
         Set<EndpointId> excluded,
         AvailabilityZone ownZone,
         NodeName self,
-        boolean alone) {
+        boolean isolated) {
     public RouteRequest {
         prefixDigests = ImmutableList.copyOf(prefixDigests);
         excluded = ImmutableSet.copyOf(excluded);
     }
 
-    /** Returns this request with one more endpoint excluded. */
+    /** Returns a copy of this request with one more endpoint excluded. */
     public RouteRequest excluding(EndpointId endpoint) {
-        ImmutableSet<EndpointId> more = ImmutableSet.<EndpointId>builder()
+        ImmutableSet<EndpointId> extended = ImmutableSet.<EndpointId>builder()
                 .addAll(excluded)
                 .add(endpoint)
                 .build();
-        return new RouteRequest(target, prefixDigests, priority, more, ownZone, self, alone);
+        return new RouteRequest(target, prefixDigests, priority, extended, ownZone, self, isolated);
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/routing/RouteTarget.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/RouteTarget.java
@@ -10,7 +10,7 @@
         return new RouteTarget(EndpointKind.ENGINE, modelVersion.value());
     }
 
-    /** Returns the target of calls to a plain service. */
+    /** Returns the target of requests for a plain service. */
     public static RouteTarget of(ServiceName service) {
         return new RouteTarget(EndpointKind.SERVICE, service.value());
     }
--- a/src/main/java/org/wigeongrade/decisions/routing/Router.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/Router.java
@@ -12,14 +12,14 @@
 /**
  * Chooses the endpoint for one attempt.
  *
- * <p>Invariant: the chosen endpoint was rejected by no {@link CandidateRule}. The choice takes no slot: the caller takes
- * it right after, and chooses again with the endpoint excluded if the slot is gone. Safe for use from any thread: the
- * only state is a counter of decisions.
+ * <p>Invariant: no {@link CandidateRule} rejects the chosen endpoint. Choosing does not acquire a slot: the caller
+ * acquires it right afterwards, and if the slot is no longer free, chooses again with the endpoint excluded. Safe for
+ * use from any thread: the only state is an atomic counter.
  */
 public final class Router {
     private final RoutingPolicy policy;
     private final ImmutableList<CandidateRule> rules;
-    private final AtomicLong turn = new AtomicLong();
+    private final AtomicLong nextPosition = new AtomicLong();
 
     public Router(RoutingPolicy policy) {
         this(policy, CandidateRule.ALL);
@@ -30,7 +30,7 @@
         this.rules = rules;
     }
 
-    /** Chooses among {@code endpoints}, or tells why none may take the request now. */
+    /** Chooses one of {@code endpoints}, or returns why none may receive the request now. */
     public RouteDecision choose(Collection<EndpointView> endpoints, RouteContext context, RandomGenerator random) {
         Map<RouteReason, Integer> rejections = new EnumMap<>(RouteReason.class);
         ImmutableList.Builder<EndpointView> candidates = ImmutableList.builder();
@@ -43,7 +43,7 @@
         return decide(candidates.build(), rejections, context, random);
     }
 
-    /** Returns the first reason for which the endpoint may not take the request; empty if it may. */
+    /** Returns the first reason to reject the endpoint for the request; empty if there is none. */
     public Optional<RouteReason> rejection(EndpointView endpoint, RouteContext context) {
         return rules.stream()
                 .filter(rule -> rule.rejects(endpoint, context))
@@ -70,10 +70,10 @@
         if (candidates.size() == 1) {
             return new Choice(candidates.get(0), ChoiceReason.ONLY_CANDIDATE, candidates);
         }
-        if (context.request().alone()) {
-            return Choices.leastLoaded(candidates, context);
+        if (context.request().isolated()) {
+            return LoadBalancingPolicies.leastLoaded(candidates, context);
         }
-        return policy.pick(candidates, context, turn.getAndIncrement(), random);
+        return policy.pick(candidates, context, nextPosition.getAndIncrement(), random);
     }
 
     private static RouteDecision.Considered considered(EndpointView endpoint, RouteContext context) {
--- a/src/main/java/org/wigeongrade/decisions/routing/ServingLeaseEnded.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/ServingLeaseEnded.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.routing;
 
-/** Serving lease has ended: a member of the group may be missing. */
+/** Rejects an endpoint whose serving lease has ended: a member of the group may be missing. */
 final class ServingLeaseEnded implements CandidateRule {
     @Override
     public RouteReason reason() {
--- a/src/main/java/org/wigeongrade/decisions/routing/SlotTable.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/SlotTable.java
@@ -5,24 +5,27 @@
 import org.wigeongrade.decisions.limits.ShareKey;
 import org.wigeongrade.ids.EndpointId;
 
-/** Read side of this VM's slots at endpoints. Implementations are safe for use from any thread. */
+/** Read-only view of this VM's slots at endpoints. Implementations are safe for use from any thread. */
 public interface SlotTable {
-    /** Returns whether a slot could be taken now. */
+    /** Returns whether a slot could be acquired now. */
     boolean hasFreeSlot(EndpointId endpoint, long nowNanos);
 
-    /** Returns this VM's requests in flight at the endpoint. */
+    /** Returns the number of this VM's requests in flight at the endpoint. */
     int inFlight(EndpointId endpoint);
 
-    /** Returns whether this VM runs a request there that must be alone. */
+    /** Returns whether this VM is running a suspect request at the endpoint, which must run there on its own. */
     boolean isReservedForSuspect(EndpointId endpoint);
 
-    /** Returns a table that reads the shares; {@code suspects} tells which endpoints run a suspect alone. */
-    static SlotTable of(ShareHolder shares, Predicate<EndpointId> suspects) {
-        return new ShareSlotTable(shares, suspects);
+    /**
+     * Returns a view of {@code shares}; {@code runsSuspect} tests whether this VM is running a suspect request at an
+     * endpoint.
+     */
+    static SlotTable of(ShareHolder shares, Predicate<EndpointId> runsSuspect) {
+        return new ShareSlotTable(shares, runsSuspect);
     }
 
-    /** Reads {@link ShareHolder}. Safe for use from any thread. */
-    record ShareSlotTable(ShareHolder shares, Predicate<EndpointId> suspects) implements SlotTable {
+    /** View of {@link ShareHolder}. Safe for use from any thread. */
+    record ShareSlotTable(ShareHolder shares, Predicate<EndpointId> runsSuspect) implements SlotTable {
         @Override
         public boolean hasFreeSlot(EndpointId endpoint, long nowNanos) {
             return shares.hasFreeSlot(ShareKey.endpointSlots(endpoint), nowNanos);
@@ -35,7 +38,7 @@
 
         @Override
         public boolean isReservedForSuspect(EndpointId endpoint) {
-            return suspects.test(endpoint);
+            return runsSuspect.test(endpoint);
         }
     }
 }
--- a/src/main/java/org/wigeongrade/decisions/routing/SuspectRunning.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/SuspectRunning.java
@@ -1,6 +1,9 @@
 package org.wigeongrade.decisions.routing;
 
-/** Endpoint runs a request that may crash it, which must be alone. */
+/**
+ * Rejects an endpoint where this VM is running a suspect request: one that may crash the endpoint and so must run there
+ * on its own.
+ */
 final class SuspectRunning implements CandidateRule {
     @Override
     public RouteReason reason() {
--- a/src/main/java/org/wigeongrade/decisions/routing/UnreachableEndpoints.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/UnreachableEndpoints.java
@@ -7,38 +7,39 @@
 import org.wigeongrade.ids.EndpointId;
 
 /**
- * Endpoints that refused a connection lately. They are left out until a deadline, so that retries and resumed streams
- * go elsewhere while the endpoint's announcement lease still runs; one send after the deadline tries it again.
+ * Endpoints that recently could not be connected to. They are excluded until a deadline, so that retries and resumed
+ * streams go elsewhere while the endpoint's announcement lease is still valid. After the deadline, the next request
+ * routed to the endpoint tries it again.
  *
- * <p>Invariant: an entry holds for one incarnation of the endpoint only. Thread safety: all methods lock the table, which
- * is a leaf: nothing else is locked inside.
+ * <p>Invariant: an entry applies to one incarnation of the endpoint only. Thread safety: all access to the table locks
+ * this object, and no other lock is acquired while holding it.
  */
 public final class UnreachableEndpoints {
-    private record Refusal(long incarnation, long untilNanos) {}
+    private record Exclusion(long incarnation, long untilNanos) {}
 
-    private final long leaveOutNanos;
-    private final Map<EndpointId, Refusal> refusals = new HashMap<>();
+    private final long exclusionNanos;
+    private final Map<EndpointId, Exclusion> exclusions = new HashMap<>();
 
-    /** @param leaveOutNanos time for which an endpoint is left out after a refused connection, in nanoseconds */
-    public UnreachableEndpoints(long leaveOutNanos) {
-        this.leaveOutNanos = leaveOutNanos;
+    /** @param exclusionNanos how long an endpoint is excluded after a connection failure, in nanoseconds */
+    public UnreachableEndpoints(long exclusionNanos) {
+        this.exclusionNanos = exclusionNanos;
     }
 
-    /** Notes that a connection to the endpoint could not be opened. */
+    /** Records that a connection to the endpoint could not be opened. */
     public synchronized void refused(EndpointView endpoint, long nowNanos) {
-        refusals.values().removeIf(refusal -> nowNanos - refusal.untilNanos() >= 0);
-        refusals.put(endpoint.id(), new Refusal(endpoint.incarnation(), nowNanos + leaveOutNanos));
+        exclusions.values().removeIf(exclusion -> nowNanos - exclusion.untilNanos() >= 0);
+        exclusions.put(endpoint.id(), new Exclusion(endpoint.incarnation(), nowNanos + exclusionNanos));
     }
 
-    /** Returns whether the endpoint is left out now. */
+    /** Returns whether the endpoint is currently excluded. */
     public synchronized boolean isUnreachable(EndpointView endpoint, long nowNanos) {
-        final Refusal refusal = refusals.get(endpoint.id());
-        return refusal != null
-                && refusal.incarnation() == endpoint.incarnation()
-                && nowNanos - refusal.untilNanos() < 0;
+        final Exclusion exclusion = exclusions.get(endpoint.id());
+        return exclusion != null
+                && exclusion.incarnation() == endpoint.incarnation()
+                && nowNanos - exclusion.untilNanos() < 0;
     }
 
-    /** Returns the endpoints that are not left out now. */
+    /** Returns the endpoints that are not currently excluded. */
     public List<EndpointView> reachable(Collection<EndpointView> endpoints, long nowNanos) {
         return endpoints.stream()
                 .filter(endpoint -> !isUnreachable(endpoint, nowNanos))
--- a/src/main/java/org/wigeongrade/decisions/routing/WrongTarget.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/WrongTarget.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.routing;
 
-/** Endpoint serves another model version or service, so its answer would be another request's. */
+/** Rejects an endpoint that serves another model version or service, so its response would not answer this request. */
 final class WrongTarget implements CandidateRule {
     @Override
     public RouteReason reason() {
--- a/src/main/java/org/wigeongrade/decisions/routing/ZoneOut.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/ZoneOut.java
@@ -1,6 +1,6 @@
 package org.wigeongrade.decisions.routing;
 
-/** Operators took the endpoint's availability zone out of service. */
+/** Rejects an endpoint whose availability zone operators took out of service. */
 final class ZoneOut implements CandidateRule {
     @Override
     public RouteReason reason() {
--- a/src/main/java/org/wigeongrade/decisions/routing/package-info.java
+++ b/src/main/java/org/wigeongrade/decisions/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Choice of the endpoint for each attempt, the prefix index, and the rules for retries. */
+/** Endpoint selection for each attempt, the prefix index, and the retry rules. */
 package org.wigeongrade.decisions.routing;
--- a/src/test/java/org/wigeongrade/decisions/limits/FairDivisionTest.java
+++ b/src/test/java/org/wigeongrade/decisions/limits/FairDivisionTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wigeongrade.ids.NodeName;
 
-/** Division of a bound among three holders. */
+/** Division of the slots of a limit among three holders. */
 final class FairDivisionTest {
-    @ParameterizedTest(name = "{0} slots, wanted {1}, {2}, {3}, rotation {4}: {5}")
+    @ParameterizedTest(name = "{0} slots, demands {1}, {2}, {3}, rotation {4}: {5}")
     @CsvSource({
         "9, 3, 3, 3, 0, 3 3 3",
         "9, 9, 9, 9, 0, 3 3 3",
@@ -24,14 +24,14 @@
         "0, 5, 5, 5, 0, 0 0 0",
     })
     void divides(int slots, int a, int b, int c, long rotation, String expected) {
-        ImmutableList<FairDivision.Want> wants = ImmutableList.of(want("a", a), want("b", b), want("c", c));
-        var given = FairDivision.divide(slots, wants, rotation);
-        String text =
-                given.get(NodeName.of("a")) + " " + given.get(NodeName.of("b")) + " " + given.get(NodeName.of("c"));
+        ImmutableList<FairDivision.Demand> demands = ImmutableList.of(demand("a", a), demand("b", b), demand("c", c));
+        var allotted = FairDivision.divide(slots, demands, rotation);
+        String text = allotted.get(NodeName.of("a")) + " " + allotted.get(NodeName.of("b")) + " "
+                + allotted.get(NodeName.of("c"));
         assertThat(text).isEqualTo(expected);
     }
 
-    private static FairDivision.Want want(String holder, int wanted) {
-        return new FairDivision.Want(NodeName.of(holder), wanted);
+    private static FairDivision.Demand demand(String holder, int wanted) {
+        return new FairDivision.Demand(NodeName.of(holder), wanted);
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/limits/ShareHolderConcurrencyTest.java
+++ b/src/test/java/org/wigeongrade/decisions/limits/HeldSharesConcurrencyTest.java
@@ -6,43 +6,43 @@
 import org.junit.jupiter.api.Test;
 import org.wigeongrade.ids.EndpointId;
 
-/** Linearizability of the table of shares under concurrent workers. */
-public final class ShareHolderConcurrencyTest {
+/** Checks that the table of held shares is linearizable under concurrent use. */
+public final class HeldSharesConcurrencyTest {
     private static final ShareKey KEY = ShareKey.endpointSlots(EndpointId.of("e1"));
     private static final long DEADLINE = 1_000;
 
-    private final ShareHolder holder = new ShareHolder();
+    private final ShareHolder shares = new ShareHolder();
 
-    /** Begins with two slots granted, so that most scenarios acquire some. */
-    public ShareHolderConcurrencyTest() {
-        ShareReport report = holder.report(KEY, 0);
-        holder.applyGrant(new ShareGrant(KEY, report.sequence(), 2, 1, 0, DEADLINE), DEADLINE);
+    /** Starts with two granted slots, so that most scenarios acquire some. */
+    public HeldSharesConcurrencyTest() {
+        ShareReport report = shares.report(KEY, 0);
+        shares.applyGrant(new ShareGrant(KEY, report.sequence(), 2, 1, 0, DEADLINE), DEADLINE);
     }
 
     @Operation
     public long acquire() {
-        return holder.tryAcquire(KEY, 0).map(Slot::number).orElse(-1L);
+        return shares.tryAcquire(KEY, 0).map(Slot::number).orElse(-1L);
     }
 
     @Operation
     public boolean releaseFirst() {
-        return holder.release(new Slot(KEY, 0, 1, DEADLINE));
+        return shares.release(new Slot(KEY, 0, 1, DEADLINE));
     }
 
     @Operation
     public boolean grantTwo() {
-        ShareReport report = holder.report(KEY, 0);
-        return holder.applyGrant(new ShareGrant(KEY, report.sequence() + 100, 2, 1, 0, DEADLINE), DEADLINE);
+        ShareReport report = shares.report(KEY, 0);
+        return shares.applyGrant(new ShareGrant(KEY, report.sequence() + 100, 2, 1, 0, DEADLINE), DEADLINE);
     }
 
     @Operation
     public void coldSign() {
-        holder.coldSign(KEY);
+        shares.coldSign(KEY);
     }
 
     @Operation
     public int inUse() {
-        return holder.inUse(KEY);
+        return shares.inUse(KEY);
     }
 
     @Test
@@ -52,7 +52,7 @@
                 .invocationsPerIteration(200)
                 .threads(3)
                 .actorsPerThread(3)
-                .check(ShareHolderConcurrencyTest.class);
+                .check(HeldSharesConcurrencyTest.class);
     }
 
     @Test
@@ -62,6 +62,6 @@
                 .invocationsPerIteration(100)
                 .threads(2)
                 .actorsPerThread(3)
-                .check(ShareHolderConcurrencyTest.class);
+                .check(HeldSharesConcurrencyTest.class);
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/outcomes/AttemptOutcomeTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/AttemptOutcomeTest.java
@@ -10,26 +10,31 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.wigeongrade.errors.RunClaim;
 
-/** Each way an attempt can end, and what may be said of it. */
+/** Checks how each way in which an attempt can end is classified. */
 final class AttemptOutcomeTest {
-    static Stream<Arguments> noAnswer() {
+    static Stream<Arguments> withoutResponse() {
         return Stream.of(
                 Arguments.of(AttemptFacts.connectFailed(), AttemptEvent.CONNECT_FAILED),
                 Arguments.of(
-                        noAnswer(false, AttemptFacts.End.CONNECTION_FAILED), AttemptEvent.FAILED_BEFORE_FIRST_BYTE),
-                Arguments.of(noAnswer(false, AttemptFacts.End.DEADLINE_PASSED), AttemptEvent.FAILED_BEFORE_FIRST_BYTE),
-                Arguments.of(noAnswer(true, AttemptFacts.End.CONNECTION_FAILED), AttemptEvent.FAILED_AFTER_FIRST_BYTE),
-                Arguments.of(noAnswer(true, AttemptFacts.End.DEADLINE_PASSED), AttemptEvent.TIMED_OUT),
-                Arguments.of(noAnswer(true, AttemptFacts.End.CALLER_GONE), AttemptEvent.CANCELLED));
+                        withoutResponse(false, AttemptFacts.End.CONNECTION_FAILED),
+                        AttemptEvent.FAILED_BEFORE_FIRST_BYTE),
+                Arguments.of(
+                        withoutResponse(false, AttemptFacts.End.DEADLINE_PASSED),
+                        AttemptEvent.FAILED_BEFORE_FIRST_BYTE),
+                Arguments.of(
+                        withoutResponse(true, AttemptFacts.End.CONNECTION_FAILED),
+                        AttemptEvent.FAILED_AFTER_FIRST_BYTE),
+                Arguments.of(withoutResponse(true, AttemptFacts.End.DEADLINE_PASSED), AttemptEvent.TIMED_OUT),
+                Arguments.of(withoutResponse(true, AttemptFacts.End.CALLER_GONE), AttemptEvent.CANCELLED));
     }
 
-    private static AttemptFacts noAnswer(boolean bytesGiven, AttemptFacts.End end) {
-        return AttemptFacts.noAnswer(bytesGiven, end);
+    private static AttemptFacts withoutResponse(boolean requestBytesSent, AttemptFacts.End end) {
+        return AttemptFacts.noAnswer(requestBytesSent, end);
     }
 
     @ParameterizedTest
-    @MethodSource("noAnswer")
-    void withoutAnswer(AttemptFacts facts, AttemptEvent expected) {
+    @MethodSource("withoutResponse")
+    void classifiesAttemptWithoutResponse(AttemptFacts facts, AttemptEvent expected) {
         assertThat(AttemptOutcome.of(facts).event()).isEqualTo(expected);
     }
 
@@ -53,7 +58,7 @@
         assertThat(AttemptOutcome.of(facts).event()).isEqualTo(expected);
     }
 
-    /** What a caller is told agrees with what is known of the attempt. */
+    /** What a caller is told agrees with what is known of whether the request ran. */
     @ParameterizedTest
     @EnumSource(AttemptEvent.class)
     void errorKindClaimsNoMoreThanTheEvent(AttemptEvent event) {
--- a/src/test/java/org/wigeongrade/decisions/outcomes/ClaimTableTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/ClaimTableTest.java
@@ -24,7 +24,10 @@
 
     private final ClaimTable table = new ClaimTable();
 
-    /** What a second claim of the key gets: its request, digest and time, the first one's outcome, the answer. */
+    /**
+     * Cases of a second claim for a key: its request id, digest and time, the outcome of the first claim, and the
+     * expected result.
+     */
     static Stream<Arguments> secondClaims() {
         return Stream.of(
                 Arguments.of("r1", "d1", SEND_DEADLINE_MS, null, "accepted"),
@@ -50,17 +53,20 @@
             finish("key", "r1", outcome, 0);
         }
 
-        assertThat(text(claim("carrick", "key", request, digest, atMs))).isEqualTo(expected);
+        assertThat(resultCode(claim("carrick", "key", request, digest, atMs))).isEqualTo(expected);
     }
 
     @Test
-    void keysOfTwoOrganisationsAreApart() {
+    void organisationsDoNotShareKeys() {
         claim("carrick", "key", "r1", "d1", 0);
 
-        assertThat(text(claim("lyle", "key", "r2", "d2", 0))).isEqualTo("accepted");
+        assertThat(resultCode(claim("lyle", "key", "r2", "d2", 0))).isEqualTo("accepted");
     }
 
-    /** What finishing a claim gets: by whom, how, after which earlier outcome, the answer, the outcome that stays. */
+    /**
+     * Cases of finishing a claim: the request id, the reported outcome, an earlier outcome, the expected result, and
+     * the result of the next claim.
+     */
     static Stream<Arguments> finishes() {
         return Stream.of(
                 Arguments.of("r2", RunClaim.NOT_RUN, null, "idempotency_key_reused", "request_in_progress"),
@@ -79,8 +85,8 @@
             finish("key", "r1", earlier, 0);
         }
 
-        assertThat(text(finish("key", request, outcome, 1))).isEqualTo(expected);
-        assertThat(text(claim("carrick", "key", "r3", "d1", 2))).isEqualTo(nextClaim);
+        assertThat(resultCode(finish("key", request, outcome, 1))).isEqualTo(expected);
+        assertThat(resultCode(claim("carrick", "key", "r3", "d1", 2))).isEqualTo(nextClaim);
     }
 
     @Test
@@ -94,28 +100,28 @@
     }
 
     @Test
-    void oldestAnswersMakeRoomAndTheirRequestsStillRunOnce() {
-        final int answers = 20;
-        for (int i = 0; i < answers; i++) {
+    void dropsTheOldestResponsesButKeepsTheirClaims() {
+        final int responses = 20;
+        for (int i = 0; i < responses; i++) {
             claim("carrick", "key" + i, "r" + i, "d1", i);
             finish("key" + i, "r" + i, RunClaim.COMPLETED, i, new byte[1024 * 1024]);
         }
 
-        assertThat(table.answerBytes()).isAtMost(ClaimTable.MAX_ANSWER_BYTES);
-        assertThat(text(claim("carrick", "key0", "r99", "d1", 50))).isEqualTo("outcome_unknown");
-        assertThat(text(claim("carrick", "key19", "r99", "d1", 50))).isEqualTo("answered");
+        assertThat(table.responseBytes()).isAtMost(ClaimTable.MAX_RESPONSE_BYTES);
+        assertThat(resultCode(claim("carrick", "key0", "r99", "d1", 50))).isEqualTo("outcome_unknown");
+        assertThat(resultCode(claim("carrick", "key19", "r99", "d1", 50))).isEqualTo("answered");
     }
 
     @Test
-    void claimsOfOneOrganisationAreBounded() {
+    void limitsTheClaimsOfOneOrganisation() {
         for (int i = 0; i < ClaimTable.MAX_CLAIMS_PER_ORGANISATION; i++) {
             claim("carrick", "key" + i, "r1", "d1", 0);
         }
 
-        assertThat(text(claim("carrick", "more", "r2", "d1", 0))).isEqualTo("organisation_limit");
-        assertThat(text(claim("lyle", "more", "r2", "d1", 0))).isEqualTo("accepted");
+        assertThat(resultCode(claim("carrick", "more", "r2", "d1", 0))).isEqualTo("organisation_limit");
+        assertThat(resultCode(claim("lyle", "more", "r2", "d1", 0))).isEqualTo("accepted");
         table.expire(OUTCOME_DEADLINE_MS + ClaimTable.RETENTION_MS);
-        assertThat(text(claim("carrick", "more", "r2", "d1", 0))).isEqualTo("accepted");
+        assertThat(resultCode(claim("carrick", "more", "r2", "d1", 0))).isEqualTo("accepted");
     }
 
     @Test
@@ -147,13 +153,13 @@
     }
 
     private CommandResult finish(String key, String request, RunClaim outcome, long atMs, byte[] body) {
-        final StoredAnswer answer = outcome == RunClaim.COMPLETED ? new StoredAnswer(200, "text/plain", body) : null;
+        final StoredAnswer response = outcome == RunClaim.COMPLETED ? new StoredAnswer(200, "text/plain", body) : null;
         final Command.FinishClaim command = new Command.FinishClaim(
-                OrganisationName.of("carrick"), key, RequestId.of(request), outcome, answer, atMs);
+                OrganisationName.of("carrick"), key, RequestId.of(request), outcome, response, atMs);
         return table.finish(command, atMs, Revision.NONE);
     }
 
-    private static String text(CommandResult result) {
+    private static String resultCode(CommandResult result) {
         if (result instanceof CommandResult.Refused refused) {
             return refused.kind().code();
         }
@@ -161,7 +167,7 @@
     }
 
     @Test
-    void refusalsTellWhatToDo() {
+    void refusalSaysHowToFixTheRequest() {
         claim("carrick", "key", "r1", "d1", 0);
 
         final CommandResult.Refused refused = (CommandResult.Refused) claim("carrick", "key", "r2", "d2", 0);
--- a/src/test/java/org/wigeongrade/decisions/outcomes/SendGateTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/PreSendCheckTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.wigeongrade.errors.RunClaim;
 
-/** The last check before a send at time 100, by deadlines of view, serving lease, slot, claim and attempt. */
-final class SendGateTest {
+/** The final check at time 100, with the deadlines of the view lease, serving lease, slot, claim and attempt. */
+final class PreSendCheckTest {
     @ParameterizedTest
     @CsvSource({
         "101, 101, 101, 101, 101, ",
@@ -30,7 +30,7 @@
 
     @ParameterizedTest
     @EnumSource(SendRefusal.class)
-    void refusalSaysNotRun(SendRefusal refusal) {
+    void refusalsClaimNotRun(SendRefusal refusal) {
         assertThat(refusal.errorKind().runClaim()).isEqualTo(RunClaim.NOT_RUN);
     }
 }
--- a/src/test/java/org/wigeongrade/decisions/outcomes/StreamAssemblerTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/StreamAssemblerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A caller's streamed answer over attempts that are cut, crossed or resumed. */
+/** A caller's streamed response over attempts that break off, deliver late events or are resumed. */
 final class StreamAssemblerTest {
     private final StreamAssembler assembler = new StreamAssembler("req-1");
 
@@ -23,12 +23,12 @@
     }
 
     @Test
-    void wholeStreamIsHandedOnUnderTheCallersId() {
+    void completeStreamIsForwardedUnderTheCallersId() {
         int attempt = assembler.beginAttempt();
         StreamStep first = assembler.accept(attempt, chunk("up-1", "ab"));
         assertThat(((StreamStep.Forward) first).data()).contains("\"id\":\"req-1\"");
         assertThat(assembler.accept(attempt, finish("up-1"))).isInstanceOf(StreamStep.Nothing.class);
-        assertThat(assembler.accept(attempt, StreamAssembler.END_MARK)).isInstanceOf(StreamStep.Finish.class);
+        assertThat(assembler.accept(attempt, StreamAssembler.DONE_MARKER)).isInstanceOf(StreamStep.Finish.class);
         assertThat(assembler.isWhole()).isTrue();
         assertThat(assembler.text()).isEqualTo("ab");
     }
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void streamWithEventsOfTwoAnswersIsMismatched() {
+    void streamWithEventsOfTwoResponsesIsMismatched() {
         int attempt = assembler.beginAttempt();
         assembler.accept(attempt, chunk("up-1", "ab"));
         StreamStep.Fail fail = (StreamStep.Fail) assembler.accept(attempt, chunk("up-2", "xy"));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void endBeforeTheEndMarkIsCutShortEvenAfterTheFinishReason() {
+    void endBeforeTheDoneMarkerIsCutShortEvenAfterTheFinishReason() {
         int attempt = assembler.beginAttempt();
         assembler.accept(attempt, chunk("up-1", "ab"));
         assembler.accept(attempt, finish("up-1"));
@@ -69,54 +69,56 @@
         assertThat(assembler.isResumable()).isFalse();
     }
 
-    /** Cuts streams at random places over 500 seeds; the caller's text is always the whole text, once. */
+    /**
+     * Breaks off streams at random places with 500 seeds; the caller must always receive the whole text exactly once.
+     */
     @Test
-    void resumedStreamsLoseAndDoubleNothing() {
-        String whole = "the quick brown fox jumps over the lazy dog";
+    void resumedStreamsLoseAndRepeatNothing() {
+        String fullText = "the quick brown fox jumps over the lazy dog";
         for (int seed = 0; seed < 500; seed++) {
-            assertThat(run(whole, new Random(seed))).isEqualTo(whole);
+            assertThat(run(fullText, new Random(seed))).isEqualTo(fullText);
         }
     }
 
-    private static String run(String whole, Random random) {
+    private static String run(String fullText, Random random) {
         StreamAssembler assembler = new StreamAssembler("req");
-        StringBuilder seen = new StringBuilder();
+        StringBuilder received = new StringBuilder();
         int previous = 0;
         while (!assembler.isWhole()) {
             int attempt = assembler.beginAttempt();
-            List<String> events = engine(whole, assembler.text(), "up-" + attempt, random);
+            List<String> events = engineEvents(fullText, assembler.text(), "up-" + attempt, random);
             int cut = random.nextInt(4) == 0 ? events.size() : random.nextInt(events.size() + 1);
             for (String event : events.subList(0, cut)) {
-                see(assembler.accept(attempt, event), seen);
-                see(assembler.accept(previous, chunk("late", "LATE")), seen);
+                appendContent(assembler.accept(attempt, event), received);
+                appendContent(assembler.accept(previous, chunk("late", "LATE")), received);
             }
             assembler.ended(attempt);
             previous = attempt;
         }
-        return seen.toString();
+        return received.toString();
     }
 
-    private static List<String> engine(String whole, String continueFrom, String id, Random random) {
+    private static List<String> engineEvents(String fullText, String continueFrom, String id, Random random) {
         List<String> events = new ArrayList<>();
         events.add("{\"id\":\"" + id
                 + "\",\"choices\":[{\"index\":0,\"delta\":{\"role\":\"assistant\",\"content\":\"\"}}]}");
         int at = continueFrom.length();
-        while (at < whole.length()) {
-            int end = Math.min(whole.length(), at + 1 + random.nextInt(5));
-            events.add(chunk(id, whole.substring(at, end)));
+        while (at < fullText.length()) {
+            int end = Math.min(fullText.length(), at + 1 + random.nextInt(5));
+            events.add(chunk(id, fullText.substring(at, end)));
             at = end;
         }
         events.add(finish(id));
-        events.add(StreamAssembler.END_MARK);
+        events.add(StreamAssembler.DONE_MARKER);
         return events;
     }
 
-    private static void see(StreamStep step, StringBuilder seen) {
+    private static void appendContent(StreamStep step, StringBuilder received) {
         if (step instanceof StreamStep.Forward forward) {
             int begin = forward.data().indexOf("\"content\":\"");
             if (begin >= 0) {
                 int from = begin + "\"content\":\"".length();
-                seen.append(forward.data(), from, forward.data().indexOf('"', from));
+                received.append(forward.data(), from, forward.data().indexOf('"', from));
             }
         }
     }
--- a/src/test/java/org/wigeongrade/decisions/outcomes/SuspectsTest.java
+++ b/src/test/java/org/wigeongrade/decisions/outcomes/SuspectsTest.java
@@ -9,7 +9,7 @@
 import org.wigeongrade.ids.EndpointId;
 import org.wigeongrade.ids.NodeName;
 
-/** Requests that crash endpoints, seen from two entry VMs and the leader. */
+/** Requests that crash endpoints, as seen by two entry VMs and the leader. */
 final class SuspectsTest {
     private static final NodeName A = NodeName.of("a");
     private static final NodeName B = NodeName.of("b");
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void trialThatItsHolderNoLongerWantsIsFree() {
+    void unwantedTrialIsReleased() {
         a.begin(BAD, E1);
         a.endpointLost(E1);
         assertThat(a.check(BAD, 0)).isInstanceOf(SuspectVerdict.ComeBack.class);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void repeatedReportCountsAnEndpointOnce() {
+    void lossOfOneEndpointCountsOnce() {
         a.begin(BAD, E1);
         b.begin(BAD, E1);
         a.endpointLost(E1);
--- a/src/test/java/org/wigeongrade/decisions/routing/CandidateRulesTest.java
+++ b/src/test/java/org/wigeongrade/decisions/routing/CandidateRulesTest.java
@@ -22,7 +22,7 @@
 import org.wigeongrade.ids.NodeName;
 import org.wigeongrade.ids.ServiceName;
 
-/** Each candidate rule with an endpoint that it leaves out and one beside it that it lets pass. */
+/** Checks each candidate rule with an endpoint that it rejects and a similar one that it accepts. */
 final class CandidateRulesTest {
     private static final NodeName SELF = NodeName.of("entry-1");
     private static final NodeName OTHER = NodeName.of("entry-2");
@@ -30,7 +30,7 @@
     private static final AvailabilityZone ZONE = AvailabilityZone.of("az-1");
     private static final long NOW = 1_000;
 
-    /** An endpoint that may be mutated one field at a time. */
+    /** An endpoint whose properties a test case can change one at a time. */
     private record Sample(
             String id,
             RouteTarget target,
@@ -59,7 +59,7 @@
         }
     }
 
-    private static final Sample GOOD = new Sample("e1", TARGET, true, false, false, null, NOW + 1, 0);
+    private static final Sample ACCEPTED = new Sample("e1", TARGET, true, false, false, null, NOW + 1, 0);
 
     private record FixedSlots(boolean free, boolean reserved) implements SlotTable {
         @Override
@@ -85,39 +85,45 @@
 
     static Stream<Arguments> cases() {
         return Stream.of(
-                bad(
+                rejected(
                         RouteReason.WRONG_TARGET,
                         s -> new Sample(
                                 s.id, RouteTarget.of(ServiceName.of("tone-v3")), true, false, false, null, NOW + 1, 0)),
-                bad(RouteReason.LEAVING, s -> new Sample(s.id, TARGET, true, true, false, null, NOW + 1, 0)),
-                bad(RouteReason.ZONE_OUT, s -> new Sample(s.id, TARGET, false, false, false, null, NOW + 1, 0)),
-                bad(RouteReason.SERVING_LEASE_ENDED, s -> new Sample(s.id, TARGET, true, false, false, null, NOW, 0)),
-                bad(RouteReason.COLD_NOT_HOLDER, s -> new Sample(s.id, TARGET, true, false, true, OTHER, NOW + 1, 0)),
-                bad(RouteReason.COLD_NOT_HOLDER, s -> new Sample(s.id, TARGET, true, false, true, null, NOW + 1, 0)),
-                bad(RouteReason.COLD_FULL, s -> new Sample(s.id, TARGET, true, false, true, SELF, NOW + 1, 2)),
-                good(s -> s),
-                good(s -> new Sample(s.id, TARGET, true, false, true, SELF, NOW + 1, 1)),
-                good(s -> new Sample(s.id, TARGET, true, false, false, OTHER, NOW + 1, 2)));
+                rejected(RouteReason.LEAVING, s -> new Sample(s.id, TARGET, true, true, false, null, NOW + 1, 0)),
+                rejected(RouteReason.ZONE_OUT, s -> new Sample(s.id, TARGET, false, false, false, null, NOW + 1, 0)),
+                rejected(
+                        RouteReason.SERVING_LEASE_ENDED,
+                        s -> new Sample(s.id, TARGET, true, false, false, null, NOW, 0)),
+                rejected(
+                        RouteReason.COLD_NOT_HOLDER,
+                        s -> new Sample(s.id, TARGET, true, false, true, OTHER, NOW + 1, 0)),
+                rejected(
+                        RouteReason.COLD_NOT_HOLDER,
+                        s -> new Sample(s.id, TARGET, true, false, true, null, NOW + 1, 0)),
+                rejected(RouteReason.COLD_FULL, s -> new Sample(s.id, TARGET, true, false, true, SELF, NOW + 1, 2)),
+                accepted(s -> s),
+                accepted(s -> new Sample(s.id, TARGET, true, false, true, SELF, NOW + 1, 1)),
+                accepted(s -> new Sample(s.id, TARGET, true, false, false, OTHER, NOW + 1, 2)));
     }
 
-    private static Arguments bad(RouteReason reason, UnaryOperator<Sample> change) {
-        return Arguments.of(Optional.of(reason), change.apply(GOOD));
+    private static Arguments rejected(RouteReason reason, UnaryOperator<Sample> change) {
+        return Arguments.of(Optional.of(reason), change.apply(ACCEPTED));
     }
 
-    private static Arguments good(UnaryOperator<Sample> change) {
-        return Arguments.of(Optional.empty(), change.apply(GOOD));
+    private static Arguments accepted(UnaryOperator<Sample> change) {
+        return Arguments.of(Optional.empty(), change.apply(ACCEPTED));
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void endpoint(Optional<RouteReason> expected, Sample sample) {
+    void ruleRejectsEndpoint(Optional<RouteReason> expected, Sample sample) {
         Router router = new Router(RoutingPolicy.POWER_OF_TWO);
         RouteContext context = context(ImmutableSet.of(), new FixedSlots(true, false));
         assertThat(router.rejection(sample.view(), context)).isEqualTo(expected);
     }
 
     static Stream<Arguments> contexts() {
-        EndpointId tried = GOOD.view().id();
+        EndpointId tried = ACCEPTED.view().id();
         return Stream.of(
                 Arguments.of(RouteReason.EXCLUDED, context(ImmutableSet.of(tried), new FixedSlots(true, false))),
                 Arguments.of(RouteReason.NO_FREE_SLOT, context(ImmutableSet.of(), new FixedSlots(false, false))),
@@ -126,15 +132,15 @@
 
     @ParameterizedTest
     @MethodSource("contexts")
-    void request(RouteReason expected, RouteContext context) {
-        assertThat(new Router(RoutingPolicy.AFFINITY).rejection(GOOD.view(), context))
+    void ruleRejectsRequestContext(RouteReason expected, RouteContext context) {
+        assertThat(new Router(RoutingPolicy.AFFINITY).rejection(ACCEPTED.view(), context))
                 .isEqualTo(Optional.of(expected));
     }
 
     @Test
-    void refusalTellsWhetherComingBackSoonHelps() {
+    void refusalDistinguishesLackOfCapacity() {
         Router router = new Router(RoutingPolicy.AFFINITY);
-        ImmutableList<EndpointView> endpoints = ImmutableList.of(GOOD.view());
+        ImmutableList<EndpointView> endpoints = ImmutableList.of(ACCEPTED.view());
         RouteContext full = context(ImmutableSet.of(), new FixedSlots(false, false));
         RouteDecision.Refused refused = (RouteDecision.Refused) router.choose(endpoints, full, new Random(1));
         assertThat(refused.kind()).isEqualTo(ErrorKind.NO_FREE_SLOT);
--- a/src/test/java/org/wigeongrade/decisions/routing/PrefixIndexTest.java
+++ b/src/test/java/org/wigeongrade/decisions/routing/PrefixIndexTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.wigeongrade.ids.EndpointId;
 
-/** Cache events that come late, twice, with gaps or from another life of the engine. */
+/** Cache events that arrive late, repeatedly, with gaps or from another incarnation of the engine. */
 final class PrefixIndexTest {
     private static final EndpointId ENGINE = EndpointId.of("e1");
     private static final ImmutableList<String> PROMPT = ImmutableList.of("a", "b", "c");
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void eventsKnownAlreadyChangeNothing() {
+    void repeatedEventsChangeNothing() {
         index.apply(ENGINE, 1, 0, ImmutableList.of("a"), ImmutableList.of("a"));
         index.apply(ENGINE, 1, 0, ImmutableList.of("a"), List.of());
         assertThat(index.matchedBlocks(ENGINE, PROMPT)).isEqualTo(0);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void forgetsTheOldestBeyondItsBound() {
+    void evictsTheOldestBeyondItsLimit() {
         index.apply(ENGINE, 1, 0, ImmutableList.of("a", "b", "c", "d", "e", "f"), List.of());
         assertThat(index.size(ENGINE)).isEqualTo(4);
         assertThat(index.matchedBlocks(ENGINE, ImmutableList.of("f"))).isEqualTo(1);
--- a/src/test/java/org/wigeongrade/decisions/routing/RetriesTest.java
+++ b/src/test/java/org/wigeongrade/decisions/routing/RetriesTest.java
@@ -9,7 +9,7 @@
 import org.wigeongrade.errors.RunClaim;
 import org.wigeongrade.ids.ServiceName;
 
-/** What may be tried again, and how much of it. */
+/** Which requests may be retried, and how many retries the budget allows. */
 final class RetriesTest {
     private static final RouteTarget TARGET = RouteTarget.of(ServiceName.of("ledger"));
     private static final long SECOND_NANOS = 1_000_000_000L;
@@ -27,14 +27,20 @@
         "NOT_RUN, true, true, 1, 49, DEADLINE_TOO_NEAR",
         "NOT_RUN, true, true, 1, -1, DEADLINE_TOO_NEAR",
     })
-    void rules(RunClaim claim, boolean idempotent, boolean resumable, int made, long leftMs, RetryRefusal expected) {
+    void rules(
+            RunClaim claim,
+            boolean idempotent,
+            boolean resumable,
+            int attemptsMade,
+            long leftMs,
+            RetryRefusal expected) {
         Retries retries = new Retries(new RetryBudget(0.1, 5));
-        RetryFacts facts = new RetryFacts(TARGET, claim, idempotent, resumable, made, 3, leftMs * 1_000_000, 0);
+        RetryFacts facts = new RetryFacts(TARGET, claim, idempotent, resumable, attemptsMade, 3, leftMs * 1_000_000, 0);
         assertThat(retries.refusal(facts)).isEqualTo(Optional.ofNullable(expected));
     }
 
     @Test
-    void budgetIsSpentAfterItsReserveAndEarnedByFirstAttempts() {
+    void budgetIsReservePlusFractionOfFirstAttempts() {
         Retries retries = new Retries(new RetryBudget(0.1, 2));
         RetryFacts facts = new RetryFacts(TARGET, RunClaim.NOT_RUN, true, true, 1, 3, SECOND_NANOS, 0);
         int taken = 0;
--- a/src/test/java/org/wigeongrade/decisions/routing/RulesPageTest.java
+++ b/src/test/java/org/wigeongrade/decisions/routing/RulesPageTest.java
@@ -13,7 +13,7 @@
 import org.wigeongrade.decisions.outcomes.AttemptEvent;
 import org.wigeongrade.decisions.outcomes.SendRefusal;
 
-/** The page of rules has one section for each reason code, and no section without a code. */
+/** Checks that the page of rules has exactly one section for each reason code. */
 final class RulesPageTest {
     private static final Path PAGE = Path.of("docs", "RULES-routing.md");
 
--- a/src/test/java/org/wigeongrade/decisions/routing/UnreachableEndpointsTest.java
+++ b/src/test/java/org/wigeongrade/decisions/routing/UnreachableEndpointsTest.java
@@ -11,9 +11,9 @@
 import org.wigeongrade.ids.FencingToken;
 
 final class UnreachableEndpointsTest {
-    private static final long LEAVE_OUT_NANOS = 1_000;
+    private static final long EXCLUSION_NANOS = 1_000;
 
-    @ParameterizedTest(name = "{0} incarnation {1} at {2}: left out {3}")
+    @ParameterizedTest(name = "{0} incarnation {1} at {2}: excluded {3}")
     @CsvSource({
         "guide/1, 7, 500, true",
         "guide/1, 7, 999, true",
@@ -21,13 +21,13 @@
         "guide/1, 8, 500, false",
         "guide/2, 7, 500, false",
     })
-    void leavesOutTheRefusingIncarnationUntilTheDeadline(String id, long incarnation, long nowNanos, boolean leftOut) {
-        UnreachableEndpoints unreachable = new UnreachableEndpoints(LEAVE_OUT_NANOS);
+    void leavesOutTheRefusingIncarnationUntilTheDeadline(String id, long incarnation, long nowNanos, boolean excluded) {
+        UnreachableEndpoints unreachable = new UnreachableEndpoints(EXCLUSION_NANOS);
         unreachable.refused(endpoint("guide/1", 7), 0);
-        EndpointView asked = endpoint(id, incarnation);
+        EndpointView endpoint = endpoint(id, incarnation);
 
-        assertThat(unreachable.isUnreachable(asked, nowNanos)).isEqualTo(leftOut);
-        assertThat(unreachable.reachable(List.of(asked), nowNanos)).hasSize(leftOut ? 0 : 1);
+        assertThat(unreachable.isUnreachable(endpoint, nowNanos)).isEqualTo(excluded);
+        assertThat(unreachable.reachable(List.of(endpoint), nowNanos)).hasSize(excluded ? 0 : 1);
     }
 
     private static EndpointView endpoint(String id, long incarnation) {
